--- a/packages/benchmark/src/decision-benchmark.ts
+++ b/packages/benchmark/src/decision-benchmark.ts
@@ -143,7 +143,7 @@
 	const begun: string[] = [];
 	for (const id of ended) {
 		admission.finish(id, {duration: 60, result: 'ok'}, now);
-		for (const turn of admission.turns(now)) {
+		for (const turn of admission.processQueue(now)) {
 			if (turn.kind === 'dispatch') {
 				begun.push(turn.id);
 			}
--- a/packages/decisions/__tests__/admission-parts.spec.ts
+++ b/packages/decisions/__tests__/admission-parts.spec.ts
@@ -24,11 +24,11 @@
 import {
 	beginChain,
 	chainPriority,
-	createLevelsBelow,
+	createDownstreamLevels,
 	endChain,
-	learnLevelBelow,
-	levelBelow,
-} from '../src/levels-below.js';
+	recordDownstreamLevel,
+	downstreamLevel,
+} from '../src/downstream-levels.js';
 
 describe('concurrency limit', () => {
 	/** Plays windows at full slots; latency is a function of the limit in force. */
@@ -193,20 +193,20 @@
 
 describe('levels below', () => {
 	const learn = (
-		state: ReturnType<typeof createLevelsBelow>,
+		state: ReturnType<typeof createDownstreamLevels>,
 		levels: number[],
 	) => {
 		for (const level of levels) {
-			learnLevelBelow(state, 'chain', {service: 'deep', level, now: 0});
+			recordDownstreamLevel(state, 'chain', {service: 'deep', level, now: 0});
 		}
 	};
 
 	it('ties a level to the operation that needed the service', () => {
-		const state = createLevelsBelow();
+		const state = createDownstreamLevels();
 		beginChain(state, 'chain', 'GET /board', 77);
 		learn(state, [150, 150, 150]);
-		expect(levelBelow(state, 'GET /board', 10)).to.equal(150);
-		expect(levelBelow(state, 'GET /other', 10)).to.equal(highestLevel);
+		expect(downstreamLevel(state, 'GET /board', 10)).to.equal(150);
+		expect(downstreamLevel(state, 'GET /other', 10)).to.equal(highestLevel);
 		expect(chainPriority(state, 'chain')).to.equal(77);
 		endChain(state, 'chain');
 		expect(chainPriority(state, 'chain')).to.equal(undefined);
@@ -215,19 +215,19 @@
 	// One report in ten is wrong and claims a hopeless target. Believed, it
 	// would shut the operation, and users would be refused at an idle service.
 	it('does not believe a wrong report among right ones', () => {
-		const state = createLevelsBelow();
+		const state = createDownstreamLevels();
 		beginChain(state, 'chain', 'GET /board', 0);
 		learn(state, [383, 383, -1, 383, 383, 383, -1, 383, 383]);
-		expect(levelBelow(state, 'GET /board', 10)).to.equal(highestLevel);
+		expect(downstreamLevel(state, 'GET /board', 10)).to.equal(highestLevel);
 	});
 
 	// The layer below has recovered, but everything is refused above it, so no
 	// answer ever says so. Without relaxing, the refusals would last for ever.
 	it('opens again when nobody confirms the level', () => {
-		const state = createLevelsBelow();
+		const state = createDownstreamLevels();
 		beginChain(state, 'chain', 'GET /board', 0);
 		learn(state, [100]);
-		expect(levelBelow(state, 'GET /board', 1500)).to.be.greaterThan(200);
-		expect(levelBelow(state, 'GET /board', 2000)).to.equal(highestLevel);
+		expect(downstreamLevel(state, 'GET /board', 1500)).to.be.greaterThan(200);
+		expect(downstreamLevel(state, 'GET /board', 2000)).to.equal(highestLevel);
 	});
 });
--- a/packages/decisions/__tests__/admission.spec.ts
+++ b/packages/decisions/__tests__/admission.spec.ts
@@ -234,7 +234,7 @@
 					while (running.length > 0) {
 						const completion = {duration: 20, result: 'ok' as const};
 						admission.finish(running.shift()!, completion, ++now);
-						for (const turn of admission.turns(now)) {
+						for (const turn of admission.processQueue(now)) {
 							const rank = ranks.get(turn.id)!;
 							ranks.delete(turn.id);
 							if (turn.kind === 'dispatch') {
--- a/packages/decisions/__tests__/egretspoke-policy.spec.ts
+++ b/packages/decisions/__tests__/egretspoke-policy.spec.ts
@@ -18,7 +18,9 @@
 		const essential = createCall('essential', {requestClass: 'essential'});
 		expect(admission.arrive(essential, 2).kind).to.equal('wait');
 		admission.finish('running', {duration: 5, result: 'ok'}, 5);
-		expect(admission.turns(5).map(({id}) => id)).to.deep.equal(['essential']);
+		expect(admission.processQueue(5).map(({id}) => id)).to.deep.equal([
+			'essential',
+		]);
 	});
 
 	it('sends to a candidate that takes work', () => {
--- a/packages/decisions/__tests__/fixtures.ts
+++ b/packages/decisions/__tests__/fixtures.ts
@@ -89,7 +89,7 @@
 	};
 
 	const takeTurns = () => {
-		for (const turn of admission.turns(clock.now())) {
+		for (const turn of admission.processQueue(clock.now())) {
 			const ending = waiting.get(turn.id)!;
 			waiting.delete(turn.id);
 			if (turn.kind === 'dispatch') {
--- a/packages/decisions/__tests__/routing.spec.ts
+++ b/packages/decisions/__tests__/routing.spec.ts
@@ -350,7 +350,7 @@
 			}
 
 			const call = createCall('1', {attempts});
-			const below = routing.attemptsBelow(call);
+			const below = routing.downstreamAttempts(call);
 			const used = callsAtBottom(routing, layers - 1, below);
 			const again = routing.retry(
 				call,
@@ -368,7 +368,7 @@
 			const counted = createRoutingOf(three);
 			expect(callsAtBottom(counted, 4, 3)).to.be.at.most(3);
 			expect(
-				createRoutingOf(three, ['chain-attempts']).attemptsBelow(
+				createRoutingOf(three, ['chain-attempts']).downstreamAttempts(
 					createCall('1', {attempts: 1}),
 				),
 			).to.equal(3);
--- a/packages/decisions/src/admission-options.ts
+++ b/packages/decisions/src/admission-options.ts
@@ -2,10 +2,10 @@
 import {requestClasses, type RequestClass} from '@egretspoke/protocol';
 import {patienceOf} from './admission-queue.js';
 import {highestLevel} from './admission-level.js';
-import {comeBackTime, type BacklogState} from './come-back-time.js';
+import {retryAfterTime, type BacklogState} from './retry-after-time.js';
 import type {ConcurrencyLimit} from './concurrency-limit.js';
 import {latestStart} from './deadline-feasibility.js';
-import {levelBelow} from './levels-below.js';
+import {downstreamLevel} from './downstream-levels.js';
 import type {AdmissionContext, Mechanism} from './policy.js';
 
 /** What every caller is told while come-back times are switched off, in milliseconds. */
@@ -32,7 +32,7 @@
 export function createAdmissionOptions(
 	context: AdmissionContext,
 ): AdmissionOptions {
-	const {without, below, random} = context;
+	const {without, downstreamLevels: below, random} = context;
 	const isOn = (mechanism: Mechanism) => !without?.has(mechanism);
 	const options: AdmissionOptions = {
 		classes: requestClasses.length,
@@ -46,8 +46,8 @@
 		latestStart,
 		patienceOf,
 		levelBelow: (operation, now) =>
-			below ? levelBelow(below, operation, now) : highestLevel,
-		comeBack: (backlog) => comeBackTime(backlog, random),
+			below ? downstreamLevel(below, operation, now) : highestLevel,
+		comeBack: (backlog) => retryAfterTime(backlog, random),
 	};
 	for (const mechanism of without ?? []) {
 		Object.assign(options, replacements[mechanism]);
--- a/packages/decisions/src/admission.ts
+++ b/packages/decisions/src/admission.ts
@@ -42,7 +42,7 @@
 	AdmissionContext,
 	AdmissionDecision,
 	AdmissionPolicy,
-	AdmissionTurn,
+	QueueDecision,
 	CallFacts,
 	RefusalDecision,
 } from './policy.js';
@@ -215,8 +215,8 @@
 		return overShareExpiry() <= now ? oldestOverShare(queue) : undefined;
 	};
 
-	const takeRefused = (now: number): AdmissionTurn[] => {
-		const turns: AdmissionTurn[] = [];
+	const takeRefused = (now: number): QueueDecision[] => {
+		const turns: QueueDecision[] = [];
 		for (let entry = nextGivenUp(now); entry; entry = nextGivenUp(now)) {
 			const {call, latest, since} = entry;
 			takeById(queue, call.id);
@@ -229,8 +229,8 @@
 		return turns;
 	};
 
-	const takeDispatched = (now: number): AdmissionTurn[] => {
-		const turns: AdmissionTurn[] = [];
+	const takeDispatched = (now: number): QueueDecision[] => {
+		const turns: QueueDecision[] = [];
 		while (slots.isFree()) {
 			const entry = takeNext(queue, mayRunLong);
 			if (!entry) {
@@ -260,7 +260,7 @@
 				forgive(ended);
 			}
 		},
-		turns(now) {
+		processQueue(now) {
 			advance(now);
 			return [...takeRefused(now), ...takeDispatched(now)];
 		},
--- a/packages/decisions/src/levels-below.ts
+++ b/packages/decisions/src/downstream-levels.ts
@@ -28,19 +28,19 @@
 type RunningChain = {operation: string; priority: number; count: number};
 
 /** The table of one node, shared by its admission and its routing. */
-export type LevelsBelow = {
+export type DownstreamLevels = {
 	chains: Map<string, RunningChain>;
 	byOperation: Map<string, Map<string, LevelSamples>>;
 };
 
 /** Creates an empty table. */
-export function createLevelsBelow(): LevelsBelow {
+export function createDownstreamLevels(): DownstreamLevels {
 	return {chains: new Map(), byOperation: new Map()};
 }
 
 /** A request of the chain starts at the node's own target. */
 export function beginChain(
-	state: LevelsBelow,
+	state: DownstreamLevels,
 	chain: string,
 	operation: string,
 	priority: number,
@@ -54,7 +54,7 @@
 }
 
 /** It has ended. */
-export function endChain(state: LevelsBelow, chain: string): void {
+export function endChain(state: DownstreamLevels, chain: string): void {
 	const known = state.chains.get(chain);
 	if (known && --known.count === 0) {
 		state.chains.delete(chain);
@@ -63,15 +63,15 @@
 
 /** The priority number of a chain that runs here. */
 export function chainPriority(
-	state: LevelsBelow,
+	state: DownstreamLevels,
 	chain: string,
 ): number | undefined {
 	return state.chains.get(chain)?.priority;
 }
 
 /** Learns the level of a service that the chain's request called. */
-export function learnLevelBelow(
-	state: LevelsBelow,
+export function recordDownstreamLevel(
+	state: DownstreamLevels,
 	chain: string,
 	seen: {service: string; level: number; now: number},
 ): void {
@@ -93,8 +93,8 @@
 }
 
 /** The level that the layers below allow to an operation. */
-export function levelBelow(
-	state: LevelsBelow,
+export function downstreamLevel(
+	state: DownstreamLevels,
 	operation: string,
 	now: number,
 ): number {
--- a/packages/decisions/src/index.ts
+++ b/packages/decisions/src/index.ts
@@ -1,7 +1,7 @@
 export * from './egretspoke-policy.js';
 export {
 	chainPriority,
-	createLevelsBelow,
-	type LevelsBelow,
-} from './levels-below.js';
+	createDownstreamLevels,
+	type DownstreamLevels,
+} from './downstream-levels.js';
 export * from './policy.js';
--- a/packages/decisions/src/policy.ts
+++ b/packages/decisions/src/policy.ts
@@ -6,7 +6,7 @@
  */
 import type {ErrorCode, LoadReport, RequestClass} from '@egretspoke/protocol';
 import type {Random} from '@egretspoke/shared';
-import type {LevelsBelow} from './levels-below.js';
+import type {DownstreamLevels} from './downstream-levels.js';
 
 /** What a decision may know about a request. */
 export type CallFacts = {
@@ -49,7 +49,7 @@
 	| RefusalDecision;
 
 /** A waiting request whose turn has come, for better or worse. */
-export type AdmissionTurn = {id: string} & (
+export type QueueDecision = {id: string} & (
 	{kind: 'dispatch'; reason: string} | RefusalDecision
 );
 
@@ -71,11 +71,11 @@
 	 * The turns that are due now. To be called after `finish`, and at `wakeAt`.
 	 * A request given up on gets its refusal here at once.
 	 */
-	turns(now: number): AdmissionTurn[];
+	processQueue(now: number): QueueDecision[];
 	/** The next instant at which `turns` may have something; undefined if none. */
 	wakeAt(): number | undefined;
 	/** Hands back everything that waits, for a planned stop. */
-	drain(now: number): AdmissionTurn[];
+	drain(now: number): QueueDecision[];
 	/** The load, with the level that holds for the operation, the layers below included. */
 	report(now: number, operation?: string): LoadReport;
 };
@@ -131,7 +131,7 @@
 	/** Asked after a `notRun` or `unreachable` attempt; never after `unknown` for a non-idempotent call. */
 	retry(call: CallFacts, result: AttemptResult, now: number): RetryDecision;
 	/** How many attempts the chain below may use, out of `call.attempts`. */
-	attemptsBelow(call: CallFacts): number;
+	downstreamAttempts(call: CallFacts): number;
 };
 
 /** What a policy is built from. */
@@ -142,7 +142,7 @@
 	/** Mechanisms switched off, by name, for tests and the experiment's table. */
 	without?: ReadonlySet<Mechanism>;
 	/** What the layers below let in; one table for the admission and the routing of a node. */
-	below?: LevelsBelow;
+	downstreamLevels?: DownstreamLevels;
 };
 
 /** What an admission policy is built from besides. */
--- a/packages/decisions/src/come-back-time.ts
+++ b/packages/decisions/src/retry-after-time.ts
@@ -29,7 +29,7 @@
 };
 
 /** Milliseconds after which to come back. */
-export function comeBackTime(
+export function retryAfterTime(
 	{waiting, refused, drainRate, serviceTime}: BacklogState,
 	random: Random,
 ): number {
--- a/packages/decisions/src/routing.ts
+++ b/packages/decisions/src/routing.ts
@@ -5,11 +5,11 @@
 import {ErrorCode} from '@egretspoke/protocol';
 import {fixedComeBackTime} from './admission-options.js';
 import {attemptsBelow, hasAttempts} from './chain-attempts.js';
-import {comeBackTime} from './come-back-time.js';
+import {retryAfterTime} from './retry-after-time.js';
 import {judgeTarget} from './ejection.js';
 import {isGroupOverloaded, noteAttempt} from './group-load.js';
 import {highestLevel} from './admission-level.js';
-import {learnLevelBelow} from './levels-below.js';
+import {recordDownstreamLevel} from './downstream-levels.js';
 import type {
 	AttemptResult,
 	CallFacts,
@@ -50,7 +50,7 @@
 
 /** Creates the routing of one entry node. */
 export function createRouting(context: PolicyContext): RoutingPolicy {
-	const {dataCentre, random, without, below} = context;
+	const {dataCentre, random, without, downstreamLevels: below} = context;
 	const choiceOptions = createChoiceOptions(without);
 	const hasUpstreamRefusal = !without?.has('upstream-refusal');
 	const hasRetryBudget = !without?.has('retry-budget');
@@ -81,7 +81,7 @@
 
 		// One service time of the whole group, spread over as much again for each tenth that is refused.
 		const serviceTime = group.typical;
-		const retryAfter = comeBackTime(
+		const retryAfter = retryAfterTime(
 			{
 				waiting: 0,
 				refused: 10 * group.load.refusedShare,
@@ -102,7 +102,7 @@
 		if (hasUpstreamRefusal && isRefusedUpstream(group.levels, call, now)) {
 			const level = Math.round(seenLevel(group.levels, call.operation, now));
 			if (below) {
-				learnLevelBelow(below, call.chain ?? call.id, {
+				recordDownstreamLevel(below, call.chain ?? call.id, {
 					service: call.service,
 					level,
 					now,
@@ -189,7 +189,7 @@
 				if (below) {
 					const chain = call.chain ?? call.id;
 					const {service} = call;
-					learnLevelBelow(below, chain, {service, level, now});
+					recordDownstreamLevel(below, chain, {service, level, now});
 				}
 			}
 		},
@@ -223,7 +223,7 @@
 				reason: `${result.node} did not run it`,
 			};
 		},
-		attemptsBelow: (call) =>
+		downstreamAttempts: (call) =>
 			hasChainAttempts ? attemptsBelow(call) : uncountedAttempts,
 	};
 
--- a/packages/decisions/src/slot-table.ts
+++ b/packages/decisions/src/slot-table.ts
@@ -9,7 +9,7 @@
 	noteShed,
 } from './concurrency-limit.js';
 import type {AdmissionOptions} from './admission-options.js';
-import {beginChain, endChain} from './levels-below.js';
+import {beginChain, endChain} from './downstream-levels.js';
 import {
 	averageSlots,
 	countSlot,
@@ -59,7 +59,7 @@
 
 /** Creates idle slots. */
 export function createSlotTable(
-	{slots, below}: AdmissionContext,
+	{slots, downstreamLevels: below}: AdmissionContext,
 	options: AdmissionOptions,
 ): SlotTable {
 	const durations = createOperationDurations();
--- a/packages/experiment/src/execution.ts
+++ b/packages/experiment/src/execution.ts
@@ -166,7 +166,7 @@
 		plan,
 		service: world.deployment.services[plan.role].name,
 		deadline: world.contender.callDeadline(facts.deadline),
-		attempts: node.routing.attemptsBelow(facts),
+		attempts: node.routing.downstreamAttempts(facts),
 		parent,
 	};
 	const priority = chainPriority(node.below, chain);
--- a/packages/experiment/src/model-node.ts
+++ b/packages/experiment/src/model-node.ts
@@ -8,7 +8,7 @@
 	AdmissionPolicy,
 	CallFacts,
 	Completion,
-	LevelsBelow,
+	DownstreamLevels,
 	RoutingPolicy,
 } from '@egretspoke/decisions';
 import type {Timer} from '@egretspoke/shared';
@@ -32,7 +32,7 @@
 	since: number;
 	routing: RoutingPolicy;
 	/** What the layers below let in, for admission and routing alike. */
-	below: LevelsBelow;
+	below: DownstreamLevels;
 	/** The nodes to which a connection is open. */
 	contacts: Set<ModelNode>;
 	receive(attempt: Attempt, timeLeft: number, reply: Reply): void;
@@ -147,7 +147,7 @@
 	};
 
 	const pump = () => {
-		for (const turn of admission.turns(clock.now())) {
+		for (const turn of admission.processQueue(clock.now())) {
 			const entry = present.get(turn.id);
 			if (entry) {
 				decide(entry, turn);
--- a/packages/experiment/src/run.ts
+++ b/packages/experiment/src/run.ts
@@ -1,6 +1,9 @@
 /** Runs one side of the comparison through one scenario. */
 import {createRandom, createVirtualClock} from '@egretspoke/shared';
-import {createLevelsBelow, type RoutingCandidate} from '@egretspoke/decisions';
+import {
+	createDownstreamLevels,
+	type RoutingCandidate,
+} from '@egretspoke/decisions';
 import type {Contender} from './contender.js';
 import {createDeadlineWheel} from './deadline-wheel.js';
 import {
@@ -84,7 +87,7 @@
 	const {name: service, slots} = deployment.services[role];
 	const dataCentre = `data-centre-${(place % deployment.dataCentres) + 1}`;
 	const {policy} = contender;
-	const below = createLevelsBelow();
+	const below = createDownstreamLevels();
 	const node = createModelNode(world, {
 		name: `${service}-${index + 1}${startsCold ? '-new' : ''}`,
 		dataCentre,
@@ -92,11 +95,15 @@
 		index,
 		startsCold,
 		since: startsCold ? world.clock.now() : -longAgo,
-		routing: policy.createRouting({dataCentre, below, random: fork()}),
+		routing: policy.createRouting({
+			dataCentre,
+			downstreamLevels: below,
+			random: fork(),
+		}),
 		below,
 		admission: policy.createAdmission({
 			dataCentre,
-			below,
+			downstreamLevels: below,
 			random: fork(),
 			service,
 			slots,
--- a/packages/node/src/attempt-sender.ts
+++ b/packages/node/src/attempt-sender.ts
@@ -94,7 +94,7 @@
 		}
 
 		const startedAt = clock.now();
-		const given = Math.max(1, routing.attemptsBelow(facts));
+		const given = Math.max(1, routing.downstreamAttempts(facts));
 		routing.started(facts, node, startedAt);
 		const {outcome, load} = await context.path(
 			node,
--- a/packages/node/src/node-core.ts
+++ b/packages/node/src/node-core.ts
@@ -24,9 +24,9 @@
 } from '@egretspoke/protocol';
 import {
 	chainPriority,
-	createLevelsBelow,
+	createDownstreamLevels,
 	type AdmissionPolicy,
-	type LevelsBelow,
+	type DownstreamLevels,
 	type Policy,
 } from '@egretspoke/decisions';
 import type {Clock, Random} from '@egretspoke/shared';
@@ -123,10 +123,10 @@
 	const running = createRunningRequests();
 	const directory = createMemberDirectory();
 	const ledger = createLedger({clock, ...context.ledger});
-	const below = createLevelsBelow();
+	const below = createDownstreamLevels();
 	const pauses = createPauseWatch(clock, supervisor.signal);
 	const routing = policy.createRouting({
-		below,
+		downstreamLevels: below,
 		dataCentre: context.dataCentre,
 		random: context.random.fork(),
 	});
@@ -292,7 +292,7 @@
 
 type IngressParts = {
 	running: RunningRequests;
-	below: LevelsBelow;
+	below: DownstreamLevels;
 	quarantine: NodeQuarantine;
 	refusalOf: () => ErrorCode | undefined;
 };
@@ -303,7 +303,7 @@
 	{running, below, quarantine, refusalOf}: IngressParts,
 ): TargetIngress {
 	const admission: AdmissionPolicy = policy.createAdmission({
-		below,
+		downstreamLevels: below,
 		dataCentre,
 		random: random.fork(),
 		service: announcement.service,
--- a/packages/node/src/turn-queue.ts
+++ b/packages/node/src/turn-queue.ts
@@ -4,7 +4,7 @@
  */
 import type {
 	AdmissionPolicy,
-	AdmissionTurn,
+	QueueDecision,
 	CallFacts,
 } from '@egretspoke/decisions';
 import {ErrorCode} from '@egretspoke/protocol';
@@ -13,7 +13,7 @@
 /** The waiting requests of one target. */
 export type TurnQueue = {
 	/** Resolves with the request's turn; a caller that gives up takes it back. */
-	wait(facts: CallFacts, signal: AbortSignal): Promise<AdmissionTurn>;
+	wait(facts: CallFacts, signal: AbortSignal): Promise<QueueDecision>;
 	/** Tells every turn that is due; to be called when a slot is free. */
 	takeTurns(): void;
 	/** Hands back everything that waits. */
@@ -25,10 +25,10 @@
 	clock: Clock,
 	admission: AdmissionPolicy,
 ): TurnQueue {
-	const waiting = new Map<string, (turn: AdmissionTurn) => void>();
+	const waiting = new Map<string, (turn: QueueDecision) => void>();
 	let wake: Timer | undefined;
 
-	const settleAll = (turns: AdmissionTurn[]) => {
+	const settleAll = (turns: QueueDecision[]) => {
 		for (const turn of turns) {
 			const settle = waiting.get(turn.id);
 			waiting.delete(turn.id);
@@ -39,7 +39,7 @@
 	};
 
 	const takeTurns = () => {
-		settleAll(admission.turns(clock.now()));
+		settleAll(admission.processQueue(clock.now()));
 	};
 
 	const setWake = () => {
@@ -54,7 +54,7 @@
 	return {
 		async wait({id}, signal) {
 			return new Promise((resolve) => {
-				const settle = (turn: AdmissionTurn) => {
+				const settle = (turn: QueueDecision) => {
 					signal.removeEventListener('abort', giveUp);
 					resolve(turn);
 				};
--- a/packages/stand-ins/__tests__/naive-policy.spec.ts
+++ b/packages/stand-ins/__tests__/naive-policy.spec.ts
@@ -61,7 +61,7 @@
 				(attempts) => routing.retry({...call, attempts}, result, 0).kind,
 			);
 			expect(kinds).to.deep.equal(['retry', 'retry', 'refuse']);
-			expect(routing.attemptsBelow({...call, attempts: 1})).to.equal(3);
+			expect(routing.downstreamAttempts({...call, attempts: 1})).to.equal(3);
 		});
 	});
 
--- a/packages/stand-ins/src/naive-policy.ts
+++ b/packages/stand-ins/src/naive-policy.ts
@@ -39,7 +39,7 @@
 		finish() {
 			inFlight--;
 		},
-		turns: () => [],
+		processQueue: () => [],
 		wakeAt: () => undefined,
 		drain: () => [],
 		report: () => ({
@@ -87,7 +87,7 @@
 			attempts > 1
 				? {kind: 'retry', delay: 0, exclude: [], reason: 'a try is left'}
 				: refuse(ErrorCode.AttemptsSpent, 'no try is left'),
-		attemptsBelow: () => naiveTries,
+		downstreamAttempts: () => naiveTries,
 	};
 }
 
