--- a/packages/decisions/__tests__/admission-parts.spec.ts
+++ b/packages/decisions/__tests__/admission-parts.spec.ts
@@ -2,24 +2,24 @@
 import {createRandom} from '@egretspoke/shared';
 import {
 	closeLevelWindow,
-	countUse,
+	recordSlotTime,
 	createAdmissionLevel,
-	highestLevel,
-	noteArrival,
+	maxLevel,
+	recordArrival,
 } from '../src/admission-level.js';
 import {hashFraction} from '../src/chain-hash.js';
 import {
 	createConcurrencyLimit,
-	noteFull,
-	noteLatency,
-	noteShed,
+	recordFull,
+	recordLatency,
+	recordShed,
 } from '../src/concurrency-limit.js';
 import {
 	createFairShare,
-	isOverShareNumber,
-	noteDemand,
-	numberRequest,
-	settleShares,
+	isOverSharePriority,
+	recordDemand,
+	computePriority,
+	updateShares,
 } from '../src/fair-share.js';
 import {
 	beginChain,
@@ -35,8 +35,8 @@
 	const play = (latency: (limit: number) => number, windows: number) => {
 		const state = createConcurrencyLimit(40);
 		for (let sample = 0; sample < windows * 120; sample++) {
-			noteFull(state);
-			noteLatency(state, sample < 240 ? 1 : latency(state.limit));
+			recordFull(state);
+			recordLatency(state, sample < 240 ? 1 : latency(state.limit));
 		}
 
 		return state.limit;
@@ -57,9 +57,9 @@
 	it('has a floor, also for a target that sheds all the time', () => {
 		const state = createConcurrencyLimit(40);
 		for (let sample = 0; sample < 10_000; sample++) {
-			noteFull(state);
-			noteShed(state, state.limit);
-			noteLatency(state, 1);
+			recordFull(state);
+			recordShed(state, state.limit);
+			recordLatency(state, 1);
 		}
 
 		expect(state.limit).to.be.at.least(4);
@@ -67,7 +67,7 @@
 
 	it('takes a shed at low load as somebody else’s trouble', () => {
 		const state = createConcurrencyLimit(40);
-		noteShed(state, 3);
+		recordShed(state, 3);
 		expect(state.limit).to.equal(40);
 	});
 });
@@ -86,10 +86,10 @@
 		for (let window = 0; window < count; window++) {
 			const now = state.windowStart + 200;
 			for (let number = 128; number < 256; number++) {
-				noteArrival(state, number, (load * 2000) / 128);
+				recordArrival(state, number, (load * 2000) / 128);
 			}
 
-			countUse(state, use * 10, now);
+			recordSlotTime(state, use * 10, now);
 			const waiting = use < 1 ? [] : queued;
 			closeLevelWindow(state, {...target, waiting}, now);
 		}
@@ -101,13 +101,13 @@
 		expect(state.level).to.be.within(128, 170);
 		// Three seconds is what recovery may take.
 		playWindows(state, 15, 0.5, 0.5);
-		expect(state.level).to.equal(highestLevel);
+		expect(state.level).to.equal(maxLevel);
 	});
 
 	it('stays open while slots are idle', () => {
 		const state = createAdmissionLevel(0);
 		playWindows(state, 10, 0.9, 0.9);
-		expect(state.level).to.equal(highestLevel);
+		expect(state.level).to.equal(maxLevel);
 	});
 });
 
@@ -123,22 +123,22 @@
 	const settled = () => {
 		const state = createFairShare(0);
 		for (let index = 0; index < 1000; index++) {
-			noteDemand(state, facts('heavy', 0));
-			noteDemand(state, facts(`light-${index % 20}`, 0));
+			recordDemand(state, facts('heavy', 0));
+			recordDemand(state, facts(`light-${index % 20}`, 0));
 		}
 
-		settleShares(state, 0);
+		updateShares(state, 0);
 		return state;
 	};
 
 	const numbersOf = (caller: string) =>
 		Array.from({length: 1000}, (_, index) =>
-			numberRequest(settled(), facts(caller, index)),
+			computePriority(settled(), facts(caller, index)),
 		);
 
 	it('puts only what is above twice the ordinary last', () => {
 		const over = numbersOf('heavy').filter((number) =>
-			isOverShareNumber(number),
+			isOverSharePriority(number),
 		);
 		expect(over.length).to.be.within(880, 920);
 		expect(Math.max(...numbersOf('light-3'))).to.be.lessThan(256);
@@ -150,7 +150,7 @@
 				...facts('heavy', index),
 				requestClass: 'essential' as const,
 			};
-			expect(numberRequest(settled(), essential)).to.be.lessThan(128);
+			expect(computePriority(settled(), essential)).to.be.lessThan(128);
 		}
 	});
 
@@ -160,10 +160,10 @@
 		const state = createFairShare(0);
 		const random = createRandom(5);
 		for (let index = 0; index < 400; index++) {
-			noteDemand(state, facts(`caller-${random.below(40)}`, 0));
+			recordDemand(state, facts(`caller-${random.below(40)}`, 0));
 		}
 
-		settleShares(state, 0);
+		updateShares(state, 0);
 		const totals = [...state.callers.values()].map(({total}) => total);
 		expect(Math.max(...totals)).to.be.lessThan(state.heavyCount);
 	});
@@ -171,11 +171,11 @@
 	it('stays bounded with callers that come and go', () => {
 		const state = createFairShare(0);
 		for (let index = 0; index < 5000; index++) {
-			noteDemand(state, facts(`caller-${index}`, 0));
+			recordDemand(state, facts(`caller-${index}`, 0));
 		}
 
 		expect(state.callers.size).to.equal(1024);
-		settleShares(state, 20_000);
+		updateShares(state, 20_000);
 		expect(state.callers.size).to.equal(0);
 	});
 });
@@ -206,7 +206,7 @@
 		beginChain(state, 'chain', 'GET /board', 77);
 		learn(state, [150, 150, 150]);
 		expect(downstreamLevel(state, 'GET /board', 10)).to.equal(150);
-		expect(downstreamLevel(state, 'GET /other', 10)).to.equal(highestLevel);
+		expect(downstreamLevel(state, 'GET /other', 10)).to.equal(maxLevel);
 		expect(chainPriority(state, 'chain')).to.equal(77);
 		endChain(state, 'chain');
 		expect(chainPriority(state, 'chain')).to.equal(undefined);
@@ -218,7 +218,7 @@
 		const state = createDownstreamLevels();
 		beginChain(state, 'chain', 'GET /board', 0);
 		learn(state, [383, 383, -1, 383, 383, 383, -1, 383, 383]);
-		expect(downstreamLevel(state, 'GET /board', 10)).to.equal(highestLevel);
+		expect(downstreamLevel(state, 'GET /board', 10)).to.equal(maxLevel);
 	});
 
 	// The layer below has recovered, but everything is refused above it, so no
@@ -228,6 +228,6 @@
 		beginChain(state, 'chain', 'GET /board', 0);
 		learn(state, [100]);
 		expect(downstreamLevel(state, 'GET /board', 1500)).to.be.greaterThan(200);
-		expect(downstreamLevel(state, 'GET /board', 2000)).to.equal(highestLevel);
+		expect(downstreamLevel(state, 'GET /board', 2000)).to.equal(maxLevel);
 	});
 });
--- a/packages/decisions/src/admission-level.ts
+++ b/packages/decisions/src/admission-level.ts
@@ -23,31 +23,31 @@
 import {limitChange} from './rate-of-change.js';
 
 /** Numbers for each class: class rank * 128 + share. */
-export const sharesPerClass = 128;
+export const prioritiesPerClass = 128;
 
 /** The level that lets everything in. */
-export const highestLevel = 383;
+export const maxLevel = 383;
 
 /** The highest priority number of an essential request. */
-export const highestEssential = sharesPerClass - 1;
+export const maxEssentialPriority = prioritiesPerClass - 1;
 
 /** The lowest level: a twentieth of the essential band is never shut, so that the level can be learnt anew. */
-export const lowestLevel = 6;
+export const minLevel = 6;
 
 /** Opening may double: while slots are idle there is no queue that an overshoot could lengthen. */
-const openingBounds = {down: 1, up: 2};
-const shortestWindow = 200;
+const raiseBounds = {down: 1, up: 2};
+const minWindow = 200;
 const windowServiceTimes = 2;
 /** The queue aimed at, in service times. */
-export const aimedQueueTime = 0.5;
-const idleShare = 0.05;
+export const desiredQueueTime = 0.5;
+const idleThreshold = 0.05;
 /** The most by which the level rises in a window: half a class. */
-const highestRise = sharesPerClass / 2;
+const maxRise = prioritiesPerClass / 2;
 /** The weight of a window in the demand up to the level. */
-const newShare = 0.5;
+const demandWeight = 0.5;
 /** What is kept a window of the demand known above the level: half after about three seconds, and after less than one while slots are idle. */
-const keptAbove = 0.95;
-const keptAboveIdle = 0.8;
+const decayAboveLevel = 0.95;
+const decayAboveLevelIdle = 0.8;
 
 /** The state of one target's level. */
 export type AdmissionLevel = {
@@ -64,7 +64,7 @@
 	countedUntil: number;
 	/** Refused in the window, and before it, for the come-back time. */
 	refused: number;
-	refusedBefore: number;
+	refusedInLastWindow: number;
 };
 
 /** What the target looks like when a window closes. */
@@ -80,20 +80,20 @@
 /** Creates an open level. */
 export function createAdmissionLevel(now: number): AdmissionLevel {
 	return {
-		level: highestLevel,
-		arrived: new Float64Array(highestLevel + 1),
-		demand: new Float64Array(highestLevel + 1),
+		level: maxLevel,
+		arrived: new Float64Array(maxLevel + 1),
+		demand: new Float64Array(maxLevel + 1),
 		windows: 0,
 		windowStart: now,
 		used: 0,
 		countedUntil: now,
 		refused: 0,
-		refusedBefore: 0,
+		refusedInLastWindow: 0,
 	};
 }
 
 /** Counts the slot time used since the last call; to be called before the requests in flight change. */
-export function countUse(
+export function recordSlotTime(
 	state: AdmissionLevel,
 	inFlight: number,
 	now: number,
@@ -103,7 +103,7 @@
 }
 
 /** Counts an arrival with the slot time that it will take. */
-export function noteArrival(
+export function recordArrival(
 	state: AdmissionLevel,
 	priority: number,
 	slotTime: number,
@@ -117,12 +117,12 @@
 	serviceTime: number,
 	now: number,
 ): boolean {
-	return now - state.windowStart >= levelWindow(serviceTime);
+	return now - state.windowStart >= windowLength(serviceTime);
 }
 
 /** The length of a window in milliseconds. */
-export function levelWindow(serviceTime: number): number {
-	return Math.max(shortestWindow, windowServiceTimes * serviceTime);
+export function windowLength(serviceTime: number): number {
+	return Math.max(minWindow, windowServiceTimes * serviceTime);
 }
 
 /** Sets the level for the next window. */
@@ -133,15 +133,15 @@
 ): void {
 	const elapsed = now - state.windowStart;
 	const idle = 1 - state.used / (target.limit * elapsed);
-	learnDemand(state, elapsed, idle > idleShare);
+	updateDemand(state, elapsed, idle > idleThreshold);
 	state.level =
-		idle > idleShare
-			? openLevel(state, idle)
-			: fitLevel(state, target, elapsed);
+		idle > idleThreshold
+			? levelForIdleSlots(state, idle)
+			: levelForSaturation(state, target, elapsed);
 	state.arrived.fill(0);
 	state.windowStart = now;
 	state.used = 0;
-	state.refusedBefore = state.refused;
+	state.refusedInLastWindow = state.refused;
 	state.refused = 0;
 }
 
@@ -150,15 +150,15 @@
  * so that few arrivals there don't mean little demand: what was seen when the
  * level was higher is forgotten slowly, faster while slots are idle.
  */
-function learnDemand(
+function updateDemand(
 	state: AdmissionLevel,
 	elapsed: number,
 	isIdle: boolean,
 ): void {
 	const {arrived, demand, level} = state;
-	const kept = isIdle ? keptAboveIdle : keptAbove;
-	const share = Math.max(newShare, 1 / ++state.windows);
-	for (let number = 0; number <= highestLevel; number++) {
+	const kept = isIdle ? decayAboveLevelIdle : decayAboveLevel;
+	const share = Math.max(demandWeight, 1 / ++state.windows);
+	for (let number = 0; number <= maxLevel; number++) {
 		const known = demand[number]!;
 		const moved = known + (arrived[number]! / elapsed - known) * share;
 		demand[number] = number <= level ? moved : Math.max(moved, known * kept);
@@ -166,24 +166,24 @@
 }
 
 /** The level that lets in as much more as slots were idle. */
-function openLevel(state: AdmissionLevel, idle: number): number {
+function levelForIdleSlots(state: AdmissionLevel, idle: number): number {
 	const admitted = sumUpTo(state.demand, state.level);
 	const wanted = limitChange(
 		admitted,
 		admitted / (1 - Math.min(idle, 0.9)),
-		openingBounds,
+		raiseBounds,
 	);
 	return raise(state, wanted - admitted);
 }
 
 /** The level up to which what waits and what will arrive fills the slots and the aimed queue. */
-function fitLevel(
+function levelForSaturation(
 	state: AdmissionLevel,
 	{limit, serviceTime, waiting}: TargetState,
 	elapsed: number,
 ): number {
-	const aimed = aimedQueueTime * limit * serviceTime;
-	const queued = new Float64Array(highestLevel + 1);
+	const aimed = desiredQueueTime * limit * serviceTime;
+	const queued = new Float64Array(maxLevel + 1);
 	for (const {priority, slotTime} of waiting) {
 		queued[priority]! += slotTime;
 	}
@@ -205,7 +205,7 @@
 	for (let number = 0; number <= state.level; number++) {
 		sum += state.demand[number]! * elapsed + queued[number]!;
 		if (sum > wanted) {
-			return Math.max(lowestLevel, number - 1);
+			return Math.max(minLevel, number - 1);
 		}
 	}
 
@@ -217,12 +217,12 @@
  * which nothing is known counts for the average of the numbers below.
  */
 function raise(state: AdmissionLevel, more: number): number {
-	if (state.level >= highestLevel || more <= 0) {
+	if (state.level >= maxLevel || more <= 0) {
 		return state.level;
 	}
 
 	const density = sumUpTo(state.demand, state.level) / (state.level + 1);
-	const last = Math.min(highestLevel, state.level + highestRise);
+	const last = Math.min(maxLevel, state.level + maxRise);
 	let sum = 0;
 	for (let number = state.level + 1; number <= last; number++) {
 		sum += Math.max(density, state.demand[number]!);
--- a/packages/decisions/src/admission-options.ts
+++ b/packages/decisions/src/admission-options.ts
@@ -1,7 +1,7 @@
 /** What the switched-off mechanisms are replaced by, as lookup tables. */
 import {requestClasses, type RequestClass} from '@egretspoke/protocol';
-import {patienceOf} from './admission-queue.js';
-import {highestLevel} from './admission-level.js';
+import {queueExpiry} from './admission-queue.js';
+import {maxLevel} from './admission-level.js';
 import {retryAfterTime, type BacklogState} from './retry-after-time.js';
 import type {ConcurrencyLimit} from './concurrency-limit.js';
 import {latestStart} from './deadline-feasibility.js';
@@ -9,7 +9,7 @@
 import type {AdmissionContext, Mechanism} from './policy.js';
 
 /** What every caller is told while come-back times are switched off, in milliseconds. */
-export const fixedComeBackTime = 250;
+export const fixedRetryAfterTime = 250;
 
 /** The admission's behaviour, by what is switched on. */
 export type AdmissionOptions = {
@@ -18,14 +18,14 @@
 	hasQueueTime: boolean;
 	hasFeasibility: boolean;
 	hasFairShare: boolean;
-	hasLongAmongShort: boolean;
+	hasLongOperationLimit: boolean;
 	hasCancellation: boolean;
 	latestStart: typeof latestStart;
-	patienceOf: typeof patienceOf;
+	queueExpiry: typeof queueExpiry;
 	classOf(requestClass: RequestClass): RequestClass;
 	limitOf(limit: ConcurrencyLimit): number;
-	levelBelow(operation: string, now: number): number;
-	comeBack(backlog: BacklogState): number;
+	downstreamLevel(operation: string, now: number): number;
+	retryAfterTime(backlog: BacklogState): number;
 };
 
 /** Reads the context's switches once. */
@@ -33,21 +33,21 @@
 	context: AdmissionContext,
 ): AdmissionOptions {
 	const {without, downstreamLevels: below, random} = context;
-	const isOn = (mechanism: Mechanism) => !without?.has(mechanism);
+	const isEnabled = (mechanism: Mechanism) => !without?.has(mechanism);
 	const options: AdmissionOptions = {
 		classes: requestClasses.length,
 		classOf: (requestClass) => requestClass,
 		limitOf: ({limit}) => limit,
-		hasQueueTime: isOn('queue-time'),
-		hasFeasibility: isOn('deadline-feasibility'),
-		hasFairShare: isOn('fair-share'),
-		hasLongAmongShort: isOn('long-among-short'),
-		hasCancellation: isOn('cancellation'),
+		hasQueueTime: isEnabled('queue-time'),
+		hasFeasibility: isEnabled('deadline-feasibility'),
+		hasFairShare: isEnabled('fair-share'),
+		hasLongOperationLimit: isEnabled('long-among-short'),
+		hasCancellation: isEnabled('cancellation'),
 		latestStart,
-		patienceOf,
-		levelBelow: (operation, now) =>
-			below ? downstreamLevel(below, operation, now) : highestLevel,
-		comeBack: (backlog) => retryAfterTime(backlog, random),
+		queueExpiry,
+		downstreamLevel: (operation, now) =>
+			below ? downstreamLevel(below, operation, now) : maxLevel,
+		retryAfterTime: (backlog) => retryAfterTime(backlog, random),
 	};
 	for (const mechanism of without ?? []) {
 		Object.assign(options, replacements[mechanism]);
@@ -58,9 +58,9 @@
 
 const replacements: Partial<Record<Mechanism, Partial<AdmissionOptions>>> = {
 	classes: {classes: 1, classOf: () => 'essential'},
-	'queue-time': {patienceOf: (_rank, latest) => latest},
+	'queue-time': {queueExpiry: (_rank, latest) => latest},
 	'concurrency-limit': {limitOf: ({slots}) => slots},
 	'deadline-feasibility': {latestStart: (deadline) => deadline},
-	'upstream-refusal': {levelBelow: () => highestLevel},
-	'come-back-times': {comeBack: () => fixedComeBackTime},
+	'upstream-refusal': {downstreamLevel: () => maxLevel},
+	'come-back-times': {retryAfterTime: () => fixedRetryAfterTime},
 };
--- a/packages/decisions/src/admission-queue.ts
+++ b/packages/decisions/src/admission-queue.ts
@@ -19,19 +19,19 @@
  * since it has the most time left (adaptive LIFO, Maurer, "Fail at Scale",
  * 2015).
  */
-import {sharesPerClass} from './admission-level.js';
-import {isOverShareNumber} from './fair-share.js';
+import {prioritiesPerClass} from './admission-level.js';
+import {isOverSharePriority} from './fair-share.js';
 import {
 	createLazyHeap,
 	peekItem,
 	pushItem,
 	type LazyHeap,
-	type Leavable,
+	type Removable,
 } from './lazy-heap.js';
 import type {CallFacts} from './policy.js';
 
 /** A request that waits. */
-export type QueueEntry = Leavable & {
+export type QueueEntry = Removable & {
 	call: CallFacts;
 	/** Its class. */
 	rank: number;
@@ -39,9 +39,9 @@
 	priority: number;
 	since: number;
 	/** The latest start from which it can end in time. */
-	latest: number;
+	latestStart: number;
 	/** When it is given up: at its latest start, or earlier when its patience is over. */
-	until: number;
+	expiresAt: number;
 	/** Slot time that it will take. */
 	slotTime: number;
 };
@@ -64,7 +64,7 @@
 };
 
 /** The part of its time that a request other than an essential one waits at one layer. */
-const patienceShare = 1 / 4;
+const maxWaitShare = 1 / 4;
 /** The class index of what is over its caller's share. */
 const overShareClass = 3;
 
@@ -73,9 +73,9 @@
 	return {
 		withinShare: new Map(),
 		overShare: new Map(),
-		shortByPriority: createLazyHeap(isMoreImportant),
-		longByPriority: createLazyHeap(isMoreImportant),
-		byExpiry: createLazyHeap((left, right) => left.until < right.until),
+		shortByPriority: createLazyHeap(hasPriorityOver),
+		longByPriority: createLazyHeap(hasPriorityOver),
+		byExpiry: createLazyHeap((left, right) => left.expiresAt < right.expiresAt),
 		sums: Array.from({length: overShareClass + 1}, () => ({
 			shortTime: 0,
 			longTime: 0,
@@ -86,19 +86,19 @@
 }
 
 /** When a request that may start until `latest` is given up. */
-export function patienceOf(
+export function queueExpiry(
 	rank: number,
-	latest: number,
+	latestStart: number,
 	deadline: number,
 	now: number,
 ): number {
 	return rank === 0
-		? latest
-		: Math.min(latest, now + (deadline - now) * patienceShare);
+		? latestStart
+		: Math.min(latestStart, now + (deadline - now) * maxWaitShare);
 }
 
 /** How many wait. */
-export function lengthOf({withinShare, overShare}: AdmissionQueue): number {
+export function queueLength({withinShare, overShare}: AdmissionQueue): number {
 	return withinShare.size + overShare.size;
 }
 
@@ -116,7 +116,7 @@
 	tableOf(queue, added).set(added.call.id, added);
 	queue.standingSince ??= added.since;
 	count(queue, added, 1);
-	const live = lengthOf(queue);
+	const live = queueLength(queue);
 	pushItem(queue.byExpiry, added, live);
 	pushItem(
 		added.isLong ? queue.longByPriority : queue.shortByPriority,
@@ -126,7 +126,7 @@
 }
 
 /** Takes a request out; undefined when it isn't waiting. */
-export function takeById(
+export function removeById(
 	queue: AdmissionQueue,
 	id: string,
 ): QueueEntry | undefined {
@@ -139,7 +139,7 @@
 }
 
 /** Takes all that wait, in the order of arrival. */
-export function takeAll(queue: AdmissionQueue): QueueEntry[] {
+export function removeAll(queue: AdmissionQueue): QueueEntry[] {
 	const entries = [...waitingEntries(queue)];
 	for (const entry of entries) {
 		removeEntry(queue, entry);
@@ -162,7 +162,7 @@
 }
 
 /** Takes the request that gets the next slot. */
-export function takeNext(
+export function dequeue(
 	queue: AdmissionQueue,
 	mayRunLong: (rank: number) => boolean,
 ): QueueEntry | undefined {
@@ -170,7 +170,7 @@
 	const long = peekItem(queue.longByPriority);
 	const isLongFirst =
 		long !== undefined &&
-		!(short && isMoreImportant(short, long)) &&
+		!(short && hasPriorityOver(short, long)) &&
 		mayRunLong(long.rank);
 	const entry = isLongFirst ? long : short;
 	if (entry) {
@@ -181,12 +181,12 @@
 }
 
 /** Whether any short request waits. */
-export function waitsShort(queue: AdmissionQueue): boolean {
+export function hasShortWaiting(queue: AdmissionQueue): boolean {
 	return peekItem(queue.shortByPriority) !== undefined;
 }
 
 /** How many short requests of the class wait. */
-export function shortWaiting(queue: AdmissionQueue, rank: number): number {
+export function shortWaitingCount(queue: AdmissionQueue, rank: number): number {
 	return queue.sums[rank]?.shortCount ?? 0;
 }
 
@@ -205,23 +205,23 @@
 	return sum;
 }
 
-function isMoreImportant(left: QueueEntry, right: QueueEntry): boolean {
+function hasPriorityOver(left: QueueEntry, right: QueueEntry): boolean {
 	return left.priority === right.priority
 		? left.since > right.since
 		: left.priority < right.priority;
 }
 
 function classOf(priority: number): number {
-	return isOverShareNumber(priority)
+	return isOverSharePriority(priority)
 		? overShareClass
-		: Math.floor(priority / sharesPerClass);
+		: Math.floor(priority / prioritiesPerClass);
 }
 
 function tableOf(
 	queue: AdmissionQueue,
 	{priority}: QueueEntry,
 ): Map<string, QueueEntry> {
-	return isOverShareNumber(priority) ? queue.overShare : queue.withinShare;
+	return isOverSharePriority(priority) ? queue.overShare : queue.withinShare;
 }
 
 function count(
@@ -239,10 +239,10 @@
 }
 
 function removeEntry(queue: AdmissionQueue, entry: QueueEntry): void {
-	entry.isGone = true;
+	entry.isRemoved = true;
 	tableOf(queue, entry).delete(entry.call.id);
 	count(queue, entry, -1);
-	if (lengthOf(queue) === 0) {
+	if (queueLength(queue) === 0) {
 		queue.standingSince = undefined;
 		for (const sum of queue.sums) {
 			sum.shortTime = 0;
--- a/packages/decisions/src/admission.ts
+++ b/packages/decisions/src/admission.ts
@@ -6,12 +6,12 @@
 import {ErrorCode} from '@egretspoke/protocol';
 import {
 	closeLevelWindow,
-	countUse,
+	recordSlotTime,
 	createAdmissionLevel,
-	highestLevel,
+	maxLevel,
 	isWindowOver,
-	levelWindow,
-	noteArrival,
+	windowLength,
+	recordArrival,
 	type AdmissionLevel,
 } from './admission-level.js';
 import {createAdmissionOptions} from './admission-options.js';
@@ -19,25 +19,25 @@
 	createAdmissionQueue,
 	enqueue,
 	firstToExpire,
-	lengthOf,
+	queueLength,
 	oldestOverShare,
-	shortWaiting,
+	shortWaitingCount,
 	slotTimeAhead,
-	takeAll,
-	takeById,
-	takeNext,
+	removeAll,
+	removeById,
+	dequeue,
 	waitingEntries,
-	waitsShort,
+	hasShortWaiting,
 	type QueueEntry,
 } from './admission-queue.js';
 import {
 	createFairShare,
-	forgiveDemand,
-	isOverShareNumber,
-	settleShares,
+	uncountDemand,
+	isOverSharePriority,
+	updateShares,
 	type FairShare,
 } from './fair-share.js';
-import {runningOf} from './operation-durations.js';
+import {runningCountOf} from './operation-durations.js';
 import type {
 	AdmissionContext,
 	AdmissionDecision,
@@ -46,11 +46,11 @@
 	CallFacts,
 	RefusalDecision,
 } from './policy.js';
-import {numberArrival, unknownDuration} from './request-numbering.js';
+import {prioritizeRequest, defaultDuration} from './request-priority.js';
 import {createSlotTable} from './slot-table.js';
 
 /** Milliseconds after which long work that waits beside free slots is looked at again. */
-const heldWake = 100;
+const heldRecheckInterval = 100;
 
 /** Creates the admission of one target. */
 export function createAdmission(context: AdmissionContext): AdmissionPolicy {
@@ -60,7 +60,7 @@
 	let started: {level: AdmissionLevel; shares: FairShare} | undefined;
 	let queueDelay = 0;
 
-	const serviceTime = () => slots.durations.average || unknownDuration;
+	const serviceTime = () => slots.durations.average || defaultDuration;
 
 	/** Brings the measures to this instant; to be called first. */
 	const advance = (now: number) => {
@@ -68,7 +68,7 @@
 			level: createAdmissionLevel(now),
 			shares: createFairShare(now),
 		};
-		countUse(started.level, slots.running(), now);
+		recordSlotTime(started.level, slots.running(), now);
 		slots.advance(now);
 		if (isWindowOver(started.level, serviceTime(), now)) {
 			const target = {
@@ -77,29 +77,29 @@
 				serviceTime: serviceTime(),
 			};
 			closeLevelWindow(started.level, target, now);
-			settleShares(started.shares, now);
+			updateShares(started.shares, now);
 		}
 
 		return started;
 	};
 
 	/** From when on the queue counts as standing. */
-	const standingFrom = () =>
+	const standingQueueStart = () =>
 		options.hasQueueTime && queue.standingSince !== undefined
-			? queue.standingSince + levelWindow(serviceTime())
+			? queue.standingSince + windowLength(serviceTime())
 			: Number.POSITIVE_INFINITY;
 
 	const mayRunLong = (rank: number) =>
-		slots.mayRunLong(rank, (other) => shortWaiting(queue, other));
+		slots.mayRunLong(rank, (other) => shortWaitingCount(queue, other));
 
 	const describeSlots = () => `${slots.running()} of ${slots.limit()} slots`;
 
 	const refuse = (code: ErrorCode, reason: string): RefusalDecision => {
 		const {level} = started!;
 		level.refused++;
-		const retryAfter = options.comeBack({
-			waiting: lengthOf(queue),
-			refused: level.refused + level.refusedBefore,
+		const retryAfter = options.retryAfterTime({
+			waiting: queueLength(queue),
+			refused: level.refused + level.refusedInLastWindow,
 			drainRate: slots.limit() / serviceTime(),
 			serviceTime: serviceTime(),
 		});
@@ -107,14 +107,18 @@
 	};
 
 	/** Refuses a request that was counted for its caller. */
-	const refuseCounted = (call: CallFacts, code: ErrorCode, reason: string) => {
-		forgive(call);
+	const refuseAndUncount = (
+		call: CallFacts,
+		code: ErrorCode,
+		reason: string,
+	) => {
+		uncount(call);
 		return refuse(code, reason);
 	};
 
-	const forgive = (call: CallFacts) => {
+	const uncount = (call: CallFacts) => {
 		if (options.hasFairShare && call.priority === undefined) {
-			forgiveDemand(started!.shares, call);
+			uncountDemand(started!.shares, call);
 		}
 	};
 
@@ -123,10 +127,10 @@
 		priority: number,
 		allowed: number,
 	) => {
-		const code = isOverShareNumber(priority)
+		const code = isOverSharePriority(priority)
 			? ErrorCode.CallerOverShare
 			: ErrorCode.LevelTooLow;
-		return refuseCounted(
+		return refuseAndUncount(
 			call,
 			code,
 			`${priority} is above level ${Math.round(allowed)}`,
@@ -140,18 +144,18 @@
 			return refuse(ErrorCode.DeadlinePassed, 'arrived after its deadline');
 		}
 
-		const request = numberArrival(call, options, slots.durations, shares);
+		const request = prioritizeRequest(call, options, slots.durations, shares);
 		const {priority, rank, isLong, expected, slotTime} = request;
-		noteArrival(level, priority, slotTime);
-		const below = options.levelBelow(operation, now);
+		recordArrival(level, priority, slotTime);
+		const below = options.downstreamLevel(operation, now);
 		if (priority > below) {
 			return refuseByLevel(call, priority, below);
 		}
 
-		const running = runningOf(slots.durations, operation);
-		const latest = options.latestStart(deadline, expected, running);
-		if (latest <= now) {
-			return refuseCounted(
+		const running = runningCountOf(slots.durations, operation);
+		const latestStart = options.latestStart(deadline, expected, running);
+		if (latestStart <= now) {
+			return refuseAndUncount(
 				call,
 				ErrorCode.DeadlineInfeasible,
 				`takes about ${Math.round(expected)} ms, ${Math.round(deadline - now)} ms are left`,
@@ -159,8 +163,8 @@
 		}
 
 		const isNext = isLong
-			? lengthOf(queue) === 0 && mayRunLong(rank)
-			: !waitsShort(queue);
+			? queueLength(queue) === 0 && mayRunLong(rank)
+			: !hasShortWaiting(queue);
 		if (isNext && slots.isFree()) {
 			slots.begin(request);
 			return {kind: 'dispatch', reason: describeSlots()};
@@ -171,15 +175,15 @@
 		}
 
 		const ahead = slotTimeAhead(queue, priority, isLong) / slots.limit();
-		if (options.hasFeasibility && now + ahead > latest) {
-			return refuseCounted(
+		if (options.hasFeasibility && now + ahead > latestStart) {
+			return refuseAndUncount(
 				call,
 				ErrorCode.DeadlineInfeasible,
 				`${Math.round(ahead)} ms of work are ahead of it`,
 			);
 		}
 
-		const until = options.patienceOf(rank, latest, deadline, now);
+		const expiresAt = options.queueExpiry(rank, latestStart, deadline, now);
 		enqueue(queue, {
 			call,
 			rank,
@@ -187,13 +191,13 @@
 			priority,
 			slotTime,
 			since: now,
-			latest,
-			until,
-			isGone: false,
+			latestStart,
+			expiresAt,
+			isRemoved: false,
 		});
 		return {
 			kind: 'wait',
-			reason: `${describeSlots()}, ${lengthOf(queue)} wait`,
+			reason: `${describeSlots()}, ${queueLength(queue)} wait`,
 		};
 	};
 
@@ -202,37 +206,39 @@
 		const oldest = oldestOverShare(queue)?.since;
 		return oldest === undefined
 			? Number.POSITIVE_INFINITY
-			: Math.max(standingFrom(), oldest + serviceTime());
+			: Math.max(standingQueueStart(), oldest + serviceTime());
 	};
 
 	/** The next request that is given up now. */
-	const nextGivenUp = (now: number): QueueEntry | undefined => {
+	const nextExpired = (now: number): QueueEntry | undefined => {
 		const first = firstToExpire(queue);
-		if (first && first.until <= now) {
+		if (first && first.expiresAt <= now) {
 			return first;
 		}
 
 		return overShareExpiry() <= now ? oldestOverShare(queue) : undefined;
 	};
 
-	const takeRefused = (now: number): QueueDecision[] => {
+	const refuseExpired = (now: number): QueueDecision[] => {
 		const turns: QueueDecision[] = [];
-		for (let entry = nextGivenUp(now); entry; entry = nextGivenUp(now)) {
-			const {call, latest, since} = entry;
-			takeById(queue, call.id);
+		for (let entry = nextExpired(now); entry; entry = nextExpired(now)) {
+			const {call, latestStart, since} = entry;
+			removeById(queue, call.id);
 			const code =
-				latest <= now ? ErrorCode.DeadlineInfeasible : ErrorCode.QueueTimeout;
+				latestStart <= now
+					? ErrorCode.DeadlineInfeasible
+					: ErrorCode.QueueTimeout;
 			const reason = `waited ${Math.round(now - since)} ms`;
-			turns.push({id: call.id, ...refuseCounted(call, code, reason)});
+			turns.push({id: call.id, ...refuseAndUncount(call, code, reason)});
 		}
 
 		return turns;
 	};
 
-	const takeDispatched = (now: number): QueueDecision[] => {
+	const dispatchWaiting = (now: number): QueueDecision[] => {
 		const turns: QueueDecision[] = [];
 		while (slots.isFree()) {
-			const entry = takeNext(queue, mayRunLong);
+			const entry = dequeue(queue, mayRunLong);
 			if (!entry) {
 				break;
 			}
@@ -252,17 +258,17 @@
 	return {
 		arrive,
 		withdraw: (id) =>
-			options.hasCancellation && takeById(queue, id) !== undefined,
+			options.hasCancellation && removeById(queue, id) !== undefined,
 		finish(id, completion, now) {
 			advance(now);
 			const ended = slots.end(id, completion);
 			if (ended && completion.result === 'shed') {
-				forgive(ended);
+				uncount(ended);
 			}
 		},
 		processQueue(now) {
 			advance(now);
-			return [...takeRefused(now), ...takeDispatched(now)];
+			return [...refuseExpired(now), ...dispatchWaiting(now)];
 		},
 		wakeAt() {
 			const first = firstToExpire(queue);
@@ -271,12 +277,12 @@
 			}
 
 			const held = slots.isFree()
-				? started!.level.countedUntil + heldWake
+				? started!.level.countedUntil + heldRecheckInterval
 				: Number.POSITIVE_INFINITY;
-			return Math.min(first.until, overShareExpiry(), held);
+			return Math.min(first.expiresAt, overShareExpiry(), held);
 		},
 		drain: () =>
-			takeAll(queue).map(({call}) => ({
+			removeAll(queue).map(({call}) => ({
 				id: call.id,
 				kind: 'refuse',
 				code: ErrorCode.Leaving,
@@ -284,14 +290,14 @@
 				retryAfter: 0,
 			})),
 		report(now, operation) {
-			const own = started?.level.level ?? highestLevel;
+			const own = started?.level.level ?? maxLevel;
 			const below =
-				operation === undefined ? own : options.levelBelow(operation, now);
+				operation === undefined ? own : options.downstreamLevel(operation, now);
 			return {
 				inFlight: slots.running(),
 				limit: slots.limit(),
-				waiting: lengthOf(queue),
-				queueDelay: lengthOf(queue) === 0 ? 0 : queueDelay,
+				waiting: queueLength(queue),
+				queueDelay: queueLength(queue) === 0 ? 0 : queueDelay,
 				level: Math.min(own, Math.round(below)),
 				serviceTime: slots.durations.average,
 			};
--- a/packages/decisions/src/concurrency-limit.ts
+++ b/packages/decisions/src/concurrency-limit.ts
@@ -23,8 +23,8 @@
  * so that a target is never starved by its own slowness.
  */
 
-const roundsOfWindow = 2;
-const smallestWindow = 64;
+const windowRounds = 2;
+const minWindowSamples = 64;
 const risenFactor = 2;
 /** Up to here the limit grows; between the two it stays. */
 const growthFactor = 1.5;
@@ -32,13 +32,13 @@
 /** Latency has followed the limit when it fell by half of the limit's step or more. */
 const followedFactor = 1 - (1 - trialFactor) / 2;
 const shedFactor = 0.9;
-const growthShare = 1 / 16;
-const floorShare = 1 / 10;
+const growthRatio = 1 / 16;
+const minLimitRatio = 1 / 10;
 /** The share by which what is usual moves to the mean of a window in which slots were left. */
-const usualShare = 1 / 4;
+const baselineWeight = 1 / 4;
 /** The same for a full window, and how far its mean may lie from what is usual to count as chance. */
-const fullUsualShare = 1 / 16;
-const chanceShare = 1 / 4;
+const fullBaselineWeight = 1 / 16;
+const noiseRatio = 1 / 4;
 
 type Trial = {
 	/** The limit before the first of the trials in a row. */
@@ -53,7 +53,7 @@
 	slots: number;
 	limit: number;
 	/** The latency of an uncrowded target; 0 while nothing is known. */
-	usual: number;
+	baseline: number;
 	count: number;
 	sum: number;
 	wasFull: boolean;
@@ -66,7 +66,7 @@
 	return {
 		slots,
 		limit: slots,
-		usual: 0,
+		baseline: 0,
 		count: 0,
 		sum: 0,
 		wasFull: false,
@@ -76,7 +76,7 @@
 }
 
 /** Learns that all slots of the limit were taken. */
-export function noteFull(state: ConcurrencyLimit): void {
+export function recordFull(state: ConcurrencyLimit): void {
 	state.wasFull = true;
 }
 
@@ -85,19 +85,19 @@
  * once a window. A refusal while the limit is far from reached has another
  * cause, such as a refusal deeper in the chain.
  */
-export function noteShed(state: ConcurrencyLimit, inFlight: number): void {
+export function recordShed(state: ConcurrencyLimit, inFlight: number): void {
 	if (!state.wasShed && inFlight >= state.limit * shedFactor) {
 		state.wasShed = true;
 		state.trial = undefined;
 		state.limit = Math.max(
-			floorOf(state),
+			minLimitOf(state),
 			Math.floor(state.limit * shedFactor),
 		);
 	}
 }
 
 /** Learns the latency of a request that ended, brought to the reference operation. */
-export function noteLatency(state: ConcurrencyLimit, latency: number): void {
+export function recordLatency(state: ConcurrencyLimit, latency: number): void {
 	if (state.trial && state.trial.skip > 0) {
 		state.trial.skip--;
 		return;
@@ -105,7 +105,7 @@
 
 	state.count++;
 	state.sum += latency;
-	if (state.count >= Math.max(smallestWindow, roundsOfWindow * state.limit)) {
+	if (state.count >= Math.max(minWindowSamples, windowRounds * state.limit)) {
 		closeWindow(state, state.sum / state.count);
 		state.count = 0;
 		state.sum = 0;
@@ -115,30 +115,30 @@
 }
 
 function closeWindow(state: ConcurrencyLimit, mean: number): void {
-	state.usual ||= mean;
+	state.baseline ||= mean;
 	if (state.trial) {
-		judgeTrial(state, state.trial, mean);
+		evaluateTrial(state, state.trial, mean);
 		return;
 	}
 
-	if (state.wasFull && mean > risenFactor * state.usual) {
+	if (state.wasFull && mean > risenFactor * state.baseline) {
 		startTrial(state, state.limit, mean);
 		return;
 	}
 
 	// A crowded window doesn't teach what an uncrowded one is like.
 	if (!state.wasFull) {
-		state.usual += (mean - state.usual) * usualShare;
-	} else if (Math.abs(mean - state.usual) < chanceShare * state.usual) {
-		state.usual += (mean - state.usual) * fullUsualShare;
+		state.baseline += (mean - state.baseline) * baselineWeight;
+	} else if (Math.abs(mean - state.baseline) < noiseRatio * state.baseline) {
+		state.baseline += (mean - state.baseline) * fullBaselineWeight;
 	} else {
-		state.usual = Math.min(state.usual, mean);
+		state.baseline = Math.min(state.baseline, mean);
 	}
 
-	if (!state.wasShed && mean <= growthFactor * state.usual) {
+	if (!state.wasShed && mean <= growthFactor * state.baseline) {
 		state.limit = Math.min(
 			state.slots,
-			state.limit + Math.max(1, Math.floor(state.limit * growthShare)),
+			state.limit + Math.max(1, Math.floor(state.limit * growthRatio)),
 		);
 	}
 }
@@ -149,11 +149,14 @@
 	latency: number,
 ): void {
 	state.trial = {from, latency, skip: state.limit};
-	state.limit = Math.max(floorOf(state), Math.floor(state.limit * trialFactor));
+	state.limit = Math.max(
+		minLimitOf(state),
+		Math.floor(state.limit * trialFactor),
+	);
 }
 
 /** Goes on lowering while latency follows and is still risen; a trial that fails undoes all before it. */
-function judgeTrial(
+function evaluateTrial(
 	state: ConcurrencyLimit,
 	{from, latency}: Trial,
 	mean: number,
@@ -161,12 +164,12 @@
 	state.trial = undefined;
 	if (mean > latency * followedFactor) {
 		state.limit = from;
-		state.usual = mean;
-	} else if (mean > risenFactor * state.usual) {
+		state.baseline = mean;
+	} else if (mean > risenFactor * state.baseline) {
 		startTrial(state, from, mean);
 	}
 }
 
-function floorOf({slots}: ConcurrencyLimit): number {
-	return Math.max(1, Math.ceil(slots * floorShare));
+function minLimitOf({slots}: ConcurrencyLimit): number {
+	return Math.max(1, Math.ceil(slots * minLimitRatio));
 }
--- a/packages/decisions/src/deadline-feasibility.ts
+++ b/packages/decisions/src/deadline-feasibility.ts
@@ -23,6 +23,6 @@
 }
 
 /** Whether a request that can't start before this instant is doomed. */
-export function isDoomed(latest: number, earliestStart: number): boolean {
+export function isInfeasible(latest: number, earliestStart: number): boolean {
 	return latest <= earliestStart;
 }
--- a/packages/decisions/src/downstream-levels.ts
+++ b/packages/decisions/src/downstream-levels.ts
@@ -12,7 +12,7 @@
  *
  * Wrong and stale levels are dealt with in `level-samples.ts`.
  */
-import {highestLevel} from './admission-level.js';
+import {maxLevel} from './admission-level.js';
 import {findOrAdd} from './bounded-table.js';
 import {
 	addLevel,
@@ -73,7 +73,7 @@
 export function recordDownstreamLevel(
 	state: DownstreamLevels,
 	chain: string,
-	seen: {service: string; level: number; now: number},
+	observed: {service: string; level: number; now: number},
 ): void {
 	const operation = state.chains.get(chain)?.operation;
 	if (operation === undefined) {
@@ -86,10 +86,10 @@
 		operationLimit,
 		() => new Map<string, LevelSamples>(),
 	);
-	const known = findOrAdd(services, seen.service, serviceLimit, () =>
+	const known = findOrAdd(services, observed.service, serviceLimit, () =>
 		createLevelSamples(),
 	);
-	addLevel(known, seen.level, seen.now);
+	addLevel(known, observed.level, observed.now);
 }
 
 /** The level that the layers below allow to an operation. */
@@ -98,7 +98,7 @@
 	operation: string,
 	now: number,
 ): number {
-	let lowest = highestLevel;
+	let lowest = maxLevel;
 	const services = state.byOperation.get(operation);
 	if (services) {
 		for (const known of services.values()) {
--- a/packages/decisions/src/ejection.ts
+++ b/packages/decisions/src/ejection.ts
@@ -24,7 +24,7 @@
  */
 import {isStarting} from './slow-start.js';
 import {
-	noteSlowness,
+	recordSlowness,
 	pressureOf,
 	slownessOf,
 	type TargetView,
@@ -32,9 +32,9 @@
 
 const slowFactor = 3;
 const failureShare = 0.5;
-const firstTime = 2000;
-const longestTime = 30_000;
-const ceilingShare = 1 / 3;
+const firstDuration = 2000;
+const maxDuration = 30_000;
+const maxEjectedShare = 1 / 3;
 /** From this load for each slot on a target has no free slot for the work of another. */
 const fullPressure = 1;
 
@@ -61,30 +61,30 @@
 }
 
 /** How an attempt at a target ended. */
-export type SeenEnd = {
+export type AttemptEnd = {
 	/** Its duration relative to the typical one; 1 when that isn't known. */
 	ratio: number;
 	/** Whether it was answered; else the duration is only the least that it would have taken. */
-	isWhole: boolean;
+	isComplete: boolean;
 	/** Another target of the group to compare with. */
 	other: TargetView | undefined;
 };
 
 /** Ejects the target, lifts its ejection, or leaves it as it is. */
-export function judgeTarget(
+export function updateEjection(
 	group: EjectionGroup,
 	view: TargetView,
-	end: SeenEnd,
+	end: AttemptEnd,
 	now: number,
 ): void {
 	if (view.ejections === 0) {
-		considerEjection(group, view, end.other, now);
+		ejectIfOutlier(group, view, end.other, now);
 	} else if (now >= view.ejectedUntil) {
-		judgeProbe(group, view, end, now);
+		evaluateProbe(group, view, end, now);
 	}
 }
 
-function considerEjection(
+function ejectIfOutlier(
 	group: EjectionGroup,
 	view: TargetView,
 	other: TargetView | undefined,
@@ -96,32 +96,32 @@
 	const isSlow =
 		slownessOf(view, now) > slowFactor &&
 		!isStarting(view, now) &&
-		hasRoomFor(other, now);
-	if ((isFailing || isSlow) && hasPlace(group)) {
+		hasSpareCapacity(other, now);
+	if ((isFailing || isSlow) && canEjectMore(group)) {
 		eject(group, view, now);
 	}
 }
 
 /** The end of the request that a half-open target was given. */
-function judgeProbe(
+function evaluateProbe(
 	group: EjectionGroup,
 	view: TargetView,
-	{ratio, isWhole, other}: SeenEnd,
+	{ratio, isComplete, other}: AttemptEnd,
 	now: number,
 ): void {
 	if (ratio > slowFactor) {
-		if (hasRoomFor(other, now)) {
+		if (hasSpareCapacity(other, now)) {
 			eject(group, view, now);
 		} else {
 			// A slow slot is better than none.
-			forget(group, view);
+			liftEjection(group, view);
 		}
-	} else if (isWhole) {
-		forget(group, view);
+	} else if (isComplete) {
+		liftEjection(group, view);
 		view.failures = 0;
 		view.slownessLog = 0;
-		view.ends = 0;
-		noteSlowness(view, ratio, now);
+		view.answerCount = 0;
+		recordSlowness(view, ratio, now);
 	} else if (view.failures > failureShare) {
 		eject(group, view, now);
 	}
@@ -129,21 +129,21 @@
 
 function eject(group: EjectionGroup, view: TargetView, now: number): void {
 	view.slownessLog = Math.log(slownessOf(view, now));
-	view.seenAt = now;
+	view.slownessAt = now;
 	view.ejections++;
 	view.ejectedUntil =
-		now + Math.min(longestTime, firstTime * 2 ** (view.ejections - 1));
+		now + Math.min(maxDuration, firstDuration * 2 ** (view.ejections - 1));
 	group.ejected.add(view);
 }
 
-function forget(group: EjectionGroup, view: TargetView): void {
+function liftEjection(group: EjectionGroup, view: TargetView): void {
 	view.ejections = 0;
 	view.ejectedUntil = 0;
 	group.ejected.delete(view);
 }
 
 /** Whether another target can take the work; one that stands out itself can't. */
-function hasRoomFor(other: TargetView | undefined, now: number): boolean {
+function hasSpareCapacity(other: TargetView | undefined, now: number): boolean {
 	return (
 		other !== undefined &&
 		slownessOf(other, now) <= slowFactor &&
@@ -151,10 +151,10 @@
 	);
 }
 
-function hasPlace({views, ejected}: EjectionGroup): boolean {
-	const ceiling = Math.max(
+function canEjectMore({views, ejected}: EjectionGroup): boolean {
+	const maxEjected = Math.max(
 		views.length >= 3 ? 1 : 0,
-		Math.floor(views.length * ceilingShare),
+		Math.floor(views.length * maxEjectedShare),
 	);
-	return ejected.size < ceiling;
+	return ejected.size < maxEjected;
 }
--- a/packages/decisions/src/fair-share.ts
+++ b/packages/decisions/src/fair-share.ts
@@ -27,7 +27,7 @@
  * so that it loses nothing.
  */
 import {rankOf, type RequestClass} from '@egretspoke/protocol';
-import {highestLevel, sharesPerClass} from './admission-level.js';
+import {maxLevel, prioritiesPerClass} from './admission-level.js';
 import {hashFraction} from './chain-hash.js';
 
 /** Milliseconds after which a count is down to 1/e. */
@@ -36,22 +36,22 @@
 const heavyFactor = 2;
 const chanceDeviations = 2;
 /** A caller below this count has been silent for several time constants. */
-const forgottenCount = 0.05;
+const minTrackedCount = 0.05;
 
 /** The first number of what is above its caller's share, and how many such numbers there are. */
-const firstOverShare = 320;
-const overShareNumbers = highestLevel + 1 - firstOverShare;
+const firstOverSharePriority = 320;
+const overSharePriorityCount = maxLevel + 1 - firstOverSharePriority;
 /** Doublings of the heavy count that these numbers span: ten numbers for each. */
 const overShareDoublings = 6;
 
 /** Numbers for the classes, by rank; the rest of the last class is for what is over a share. */
-const classNumbers = [
-	sharesPerClass,
-	sharesPerClass,
-	sharesPerClass - overShareNumbers,
+const classPriorityCounts = [
+	prioritiesPerClass,
+	prioritiesPerClass,
+	prioritiesPerClass - overSharePriorityCount,
 ] as const;
 /** The part of a class's numbers that short operations have. */
-const shortPart = 5 / 8;
+const shortRatio = 5 / 8;
 
 type Rank = 0 | 1 | 2;
 
@@ -80,7 +80,7 @@
 }
 
 /** What a priority number is made from. */
-export type PriorityFacts = {
+export type PriorityInput = {
 	requestClass: RequestClass;
 	caller: string;
 	/** The chain's name. */
@@ -89,9 +89,9 @@
 };
 
 /** Counts the request for its caller. */
-export function noteDemand(
+export function recordDemand(
 	state: FairShare,
-	{caller, requestClass}: Pick<PriorityFacts, 'caller' | 'requestClass'>,
+	{caller, requestClass}: Pick<PriorityInput, 'caller' | 'requestClass'>,
 ): void {
 	let demand = state.callers.get(caller);
 	if (!demand) {
@@ -112,9 +112,9 @@
  * refusal brings tries of the same request; counted, they would make a light
  * caller that was refused once heavy, and so refused again.
  */
-export function forgiveDemand(
+export function uncountDemand(
 	state: FairShare,
-	{caller, requestClass}: Pick<PriorityFacts, 'caller' | 'requestClass'>,
+	{caller, requestClass}: Pick<PriorityInput, 'caller' | 'requestClass'>,
 ): void {
 	const demand = state.callers.get(caller);
 	const rank = rankOf(requestClass) as Rank;
@@ -125,34 +125,34 @@
 }
 
 /** The request's priority number, from 0 (the last to be refused) to 383. */
-export function numberRequest(
+export function computePriority(
 	state: FairShare,
-	{caller, requestClass, chain, isLong}: PriorityFacts,
+	{caller, requestClass, chain, isLong}: PriorityInput,
 ): number {
 	const rank = rankOf(requestClass) as Rank;
 	const fraction = hashFraction(chain);
 	const demand = state.callers.get(caller);
 	if (!demand) {
-		return numberInClass(rank, fraction, isLong);
+		return priorityInClass(rank, fraction, isLong);
 	}
 
 	const place = placeOf(demand, rank, fraction);
 	if (rank > 0 && place > state.heavyCount) {
-		return numberOverShare(place / state.heavyCount);
+		return priorityOverShare(place / state.heavyCount);
 	}
 
 	const largest = Math.max(1, state.largest[rank]);
 	const share = Math.min(1, (fraction * demand.counts[rank]) / largest);
-	return numberInClass(rank, share, isLong);
+	return priorityInClass(rank, share, isLong);
 }
 
 /** Whether the number says that the request is above its caller's share. */
-export function isOverShareNumber(priority: number): boolean {
-	return priority >= firstOverShare;
+export function isOverSharePriority(priority: number): boolean {
+	return priority >= firstOverSharePriority;
 }
 
 /** Lets the counts decay, and works out anew which count is heavy. */
-export function settleShares(state: FairShare, now: number): void {
+export function updateShares(state: FairShare, now: number): void {
 	decay(state, now);
 	state.heavyCount = findHeavyCount(state);
 	state.largest = [0, 0, 0];
@@ -183,19 +183,22 @@
 	return before + fraction * counts[rank];
 }
 
-function numberInClass(rank: Rank, share: number, isLong: boolean): number {
-	const part = isLong ? shortPart + share * (1 - shortPart) : share * shortPart;
-	const numbers = classNumbers[rank];
+function priorityInClass(rank: Rank, share: number, isLong: boolean): number {
+	const part = isLong
+		? shortRatio + share * (1 - shortRatio)
+		: share * shortRatio;
+	const numbers = classPriorityCounts[rank];
 	return (
-		rank * sharesPerClass + Math.min(numbers - 1, Math.floor(part * numbers))
+		rank * prioritiesPerClass +
+		Math.min(numbers - 1, Math.floor(part * numbers))
 	);
 }
 
-function numberOverShare(multiple: number): number {
+function priorityOverShare(multiple: number): number {
 	const part = Math.log2(multiple) / overShareDoublings;
 	return Math.min(
-		highestLevel,
-		firstOverShare + Math.floor(part * overShareNumbers),
+		maxLevel,
+		firstOverSharePriority + Math.floor(part * overSharePriorityCount),
 	);
 }
 
@@ -208,7 +211,7 @@
 		}
 
 		demand.total *= factor;
-		if (demand.total < forgottenCount) {
+		if (demand.total < minTrackedCount) {
 			state.callers.delete(caller);
 		}
 	}
--- a/packages/decisions/src/group-load.ts
+++ b/packages/decisions/src/group-load.ts
@@ -20,7 +20,7 @@
 }
 
 /** Learns from the end of an attempt. */
-export function noteAttempt(state: GroupLoad, isRefused: boolean): void {
+export function recordAttempt(state: GroupLoad, isRefused: boolean): void {
 	state.refusedShare += ((isRefused ? 1 : 0) - state.refusedShare) / span;
 }
 
--- a/packages/decisions/src/lazy-heap.ts
+++ b/packages/decisions/src/lazy-heap.ts
@@ -1,23 +1,23 @@
 /** A binary heap whose items may leave otherwise: those that are gone stay until they surface. */
 
 /** An item that may have left otherwise. */
-export type Leavable = {isGone: boolean};
+export type Removable = {isRemoved: boolean};
 
 /** A heap and the order of its items. */
-export type LazyHeap<Item extends Leavable> = {
+export type LazyHeap<Item extends Removable> = {
 	items: Item[];
 	isBefore(left: Item, right: Item): boolean;
 };
 
 /** Creates an empty heap. */
-export function createLazyHeap<Item extends Leavable>(
+export function createLazyHeap<Item extends Removable>(
 	isBefore: (left: Item, right: Item) => boolean,
 ): LazyHeap<Item> {
 	return {items: [], isBefore};
 }
 
 /** Adds an item; `live` is how many of all items aren't gone, by which the heap is swept. */
-export function pushItem<Item extends Leavable>(
+export function pushItem<Item extends Removable>(
 	heap: LazyHeap<Item>,
 	item: Item,
 	live: number,
@@ -30,25 +30,25 @@
 }
 
 /** The first item that isn't gone. */
-export function peekItem<Item extends Leavable>(
+export function peekItem<Item extends Removable>(
 	heap: LazyHeap<Item>,
 ): Item | undefined {
-	while (heap.items[0]?.isGone) {
+	while (heap.items[0]?.isRemoved) {
 		removeFirst(heap);
 	}
 
 	return heap.items[0];
 }
 
-function sweep<Item extends Leavable>(heap: LazyHeap<Item>): void {
-	const kept = heap.items.filter(({isGone}) => !isGone);
+function sweep<Item extends Removable>(heap: LazyHeap<Item>): void {
+	const kept = heap.items.filter(({isRemoved}) => !isRemoved);
 	heap.items = [];
 	for (const item of kept) {
 		siftUp(heap, item);
 	}
 }
 
-function siftUp<Item extends Leavable>(
+function siftUp<Item extends Removable>(
 	{items, isBefore}: LazyHeap<Item>,
 	item: Item,
 ): void {
@@ -66,7 +66,7 @@
 	items[index] = item;
 }
 
-function removeFirst<Item extends Leavable>({
+function removeFirst<Item extends Removable>({
 	items,
 	isBefore,
 }: LazyHeap<Item>): void {
--- a/packages/decisions/src/level-samples.ts
+++ b/packages/decisions/src/level-samples.ts
@@ -4,10 +4,10 @@
  * nobody has confirmed for a second relaxes over the next, so that the source
  * is asked again and a stale level can't refuse for ever.
  */
-import {highestLevel} from './admission-level.js';
+import {maxLevel} from './admission-level.js';
 
 const sampleCount = 5;
-const freshFor = 1000;
+const freshDuration = 1000;
 const relaxedAfter = 2000;
 
 /** The last levels and their median. */
@@ -24,30 +24,33 @@
 		levels: [],
 		next: 0,
 		at: Number.NEGATIVE_INFINITY,
-		median: highestLevel,
+		median: maxLevel,
 	};
 }
 
 /** Adds a level that was seen. */
 export function addLevel(
-	known: LevelSamples,
+	samples: LevelSamples,
 	level: number,
 	now: number,
 ): void {
-	known.levels[known.next] = level;
-	known.next = (known.next + 1) % sampleCount;
-	known.at = now;
-	const sorted = known.levels.toSorted((left, right) => left - right);
-	known.median = sorted[Math.floor(sorted.length / 2)] ?? highestLevel;
+	samples.levels[samples.next] = level;
+	samples.next = (samples.next + 1) % sampleCount;
+	samples.at = now;
+	const sorted = samples.levels.toSorted((left, right) => left - right);
+	samples.median = sorted[Math.floor(sorted.length / 2)] ?? maxLevel;
 }
 
 /** The median level, relaxed when it is old. */
-export function currentLevel(known: LevelSamples, now: number): number {
-	const age = now - known.at;
-	if (age <= freshFor) {
-		return known.median;
+export function currentLevel(samples: LevelSamples, now: number): number {
+	const age = now - samples.at;
+	if (age <= freshDuration) {
+		return samples.median;
 	}
 
-	const relaxed = Math.min(1, (age - freshFor) / (relaxedAfter - freshFor));
-	return known.median + (highestLevel - known.median) * relaxed;
+	const relaxed = Math.min(
+		1,
+		(age - freshDuration) / (relaxedAfter - freshDuration),
+	);
+	return samples.median + (maxLevel - samples.median) * relaxed;
 }
--- a/packages/decisions/src/long-among-short.ts
+++ b/packages/decisions/src/long-operation-limit.ts
@@ -22,12 +22,12 @@
  */
 
 export const longFactor = 4;
-const leastLongShare = 1 / 8;
+const minLongShare = 1 / 8;
 /** Milliseconds after which the average follows a change by 1 - 1/e. */
 const memory = 1000;
 
 /** What runs, by class rank. */
-export type LongAmongShort = {
+export type SlotUsage = {
 	longRunning: [number, number, number];
 	shortRunning: [number, number, number];
 	/** The moving average of `shortRunning`. */
@@ -36,7 +36,7 @@
 };
 
 /** Creates the state of an idle target. */
-export function createLongAmongShort(now: number): LongAmongShort {
+export function createSlotUsage(now: number): SlotUsage {
 	return {
 		longRunning: [0, 0, 0],
 		shortRunning: [0, 0, 0],
@@ -52,7 +52,7 @@
 
 /** Counts a request as running (1) or ended (-1). */
 export function countSlot(
-	state: LongAmongShort,
+	state: SlotUsage,
 	rank: number,
 	isLong: boolean,
 	change: 1 | -1,
@@ -62,7 +62,7 @@
 }
 
 /** Brings the averages to this instant; to be called before the counts change. */
-export function averageSlots(state: LongAmongShort, now: number): void {
+export function averageSlots(state: SlotUsage, now: number): void {
 	const elapsed = now - state.averagedAt;
 	if (elapsed <= 0) {
 		return;
@@ -78,21 +78,21 @@
 
 /** Whether one more long request of the class may take a slot. */
 export function mayRunLong(
-	state: LongAmongShort,
+	state: SlotUsage,
 	rank: number,
 	limit: number,
-	shortWaiting: (rank: number) => number,
+	shortWaitingCount: (rank: number) => number,
 ): boolean {
 	let running = 0;
 	let needed = 0;
 	for (const other of [0, 1, 2] as const) {
 		running += state.longRunning[other];
 		if (other <= rank) {
-			needed += state.shortAverage[other] + shortWaiting(other);
+			needed += state.shortAverage[other] + shortWaitingCount(other);
 		}
 	}
 
 	const spread = Math.sqrt(needed);
-	const left = Math.max(1, limit * leastLongShare, limit - needed - spread);
+	const left = Math.max(1, limit * minLongShare, limit - needed - spread);
 	return running < left;
 }
--- a/packages/decisions/src/operation-durations.ts
+++ b/packages/decisions/src/operation-durations.ts
@@ -6,16 +6,16 @@
  * the second long enough to tell what is usual. The table is bounded, since an
  * operation's name comes from outside.
  */
-import {moveAverage} from './rate-of-change.js';
+import {updateAverage} from './rate-of-change.js';
 
-const latelySpan = 16;
-const usualSpan = 512;
+const recentSpan = 16;
+const longTermSpan = 512;
 /** Operations remembered; a service has tens, not hundreds. */
 const operationLimit = 256;
 
 type OperationDuration = {
-	lately: number;
-	usual: number;
+	recent: number;
+	longTerm: number;
 	count: number;
 	running: number;
 };
@@ -36,38 +36,43 @@
 }
 
 /** Learns a duration. One that was cut short says only that it is no shorter. */
-export function learnDuration(
+export function recordDuration(
 	state: OperationDurations,
 	operation: string,
 	duration: number,
-	isWhole: boolean,
+	isComplete: boolean,
 ): void {
-	const known = findOrAdd(state, operation);
-	const value = isWhole ? duration : Math.max(duration, known.lately);
-	known.count++;
-	known.lately = moveAverage(known.lately, value, known.count, latelySpan);
-	known.usual = moveAverage(known.usual, value, known.count, usualSpan);
+	const entry = findOrAdd(state, operation);
+	const value = isComplete ? duration : Math.max(duration, entry.recent);
+	entry.count++;
+	entry.recent = updateAverage(entry.recent, value, entry.count, recentSpan);
+	entry.longTerm = updateAverage(
+		entry.longTerm,
+		value,
+		entry.count,
+		longTermSpan,
+	);
 	state.count++;
-	state.average = moveAverage(
+	state.average = updateAverage(
 		state.average,
 		value,
 		state.count,
-		2 * latelySpan,
+		2 * recentSpan,
 	);
-	state.typicalLog = moveAverage(
+	state.typicalLog = updateAverage(
 		state.typicalLog,
 		Math.log(Math.max(value, 0.01)),
 		state.count,
-		usualSpan,
+		longTermSpan,
 	);
 }
 
 /** The expected duration; that of all operations when this one is new; 0 when nothing is known. */
-export function expectDuration(
+export function expectedDuration(
 	state: OperationDurations,
 	operation: string,
 ): number {
-	return state.byOperation.get(operation)?.lately ?? state.average;
+	return state.byOperation.get(operation)?.recent ?? state.average;
 }
 
 /**
@@ -79,10 +84,10 @@
 	operation: string,
 	duration: number,
 ): number {
-	const own = state.byOperation.get(operation)?.usual ?? 0;
+	const own = state.byOperation.get(operation)?.longTerm ?? 0;
 	const [reference] = state.byOperation.values();
-	return own > 0 && reference && reference.usual > 0
-		? (duration * reference.usual) / own
+	return own > 0 && reference && reference.longTerm > 0
+		? (duration * reference.longTerm) / own
 		: duration;
 }
 
@@ -97,12 +102,12 @@
 	operation: string,
 	change: 1 | -1,
 ): void {
-	const known = findOrAdd(state, operation);
-	known.running = Math.max(0, known.running + change);
+	const entry = findOrAdd(state, operation);
+	entry.running = Math.max(0, entry.running + change);
 }
 
 /** How many requests of the operation run now. */
-export function runningOf(
+export function runningCountOf(
 	state: OperationDurations,
 	operation: string,
 ): number {
@@ -113,18 +118,18 @@
 	state: OperationDurations,
 	operation: string,
 ): OperationDuration {
-	const known = state.byOperation.get(operation);
-	if (known) {
-		return known;
+	const entry = state.byOperation.get(operation);
+	if (entry) {
+		return entry;
 	}
 
 	if (state.byOperation.size >= operationLimit) {
-		forgetIdle(state);
+		evictIdle(state);
 	}
 
 	const added = {
-		lately: state.average,
-		usual: state.average,
+		recent: state.average,
+		longTerm: state.average,
 		count: 0,
 		running: 0,
 	};
@@ -136,7 +141,7 @@
 }
 
 /** Forgets the operation that was learnt first and isn't running. */
-function forgetIdle({byOperation}: OperationDurations): void {
+function evictIdle({byOperation}: OperationDurations): void {
 	for (const [operation, {running}] of byOperation) {
 		if (running === 0) {
 			byOperation.delete(operation);
--- a/packages/decisions/src/rate-of-change.ts
+++ b/packages/decisions/src/rate-of-change.ts
@@ -21,13 +21,13 @@
  * Halving and growing by half: after an overshoot by a factor of four, two
  * windows bring the value back, and three undo a step too many.
  */
-export const usualBounds: ChangeBounds = {down: 0.5, up: 1.5};
+export const defaultBounds: ChangeBounds = {down: 0.5, up: 1.5};
 
 /** Moves from the old value towards the wanted one, within the bounds. */
 export function limitChange(
 	previous: number,
 	wanted: number,
-	bounds: ChangeBounds = usualBounds,
+	bounds: ChangeBounds = defaultBounds,
 ): number {
 	return Math.min(
 		previous * bounds.up,
@@ -36,7 +36,7 @@
 }
 
 /** An average of the values so far that turns into a moving one after `span` values. */
-export function moveAverage(
+export function updateAverage(
 	average: number,
 	value: number,
 	count: number,
--- a/packages/decisions/src/request-numbering.ts
+++ b/packages/decisions/src/request-priority.ts
@@ -1,11 +1,11 @@
 /** What the admission makes of an arriving request: its class, whether it is long, its priority. */
 import {rankOf} from '@egretspoke/protocol';
-import {highestEssential} from './admission-level.js';
+import {maxEssentialPriority} from './admission-level.js';
 import type {AdmissionOptions} from './admission-options.js';
-import {noteDemand, numberRequest, type FairShare} from './fair-share.js';
-import {isLongDuration} from './long-among-short.js';
+import {recordDemand, computePriority, type FairShare} from './fair-share.js';
+import {isLongDuration} from './long-operation-limit.js';
 import {
-	expectDuration,
+	expectedDuration,
 	typicalDuration,
 	type OperationDurations,
 } from './operation-durations.js';
@@ -13,10 +13,10 @@
 import type {SlotEntry} from './slot-table.js';
 
 /** The slot time assumed while nothing has been learnt, in milliseconds. */
-export const unknownDuration = 10;
+export const defaultDuration = 10;
 
 /** A request with what the decisions are made by. */
-export type NumberedRequest = SlotEntry & {
+export type PrioritizedRequest = SlotEntry & {
 	/** The expected duration in milliseconds; 0 while nothing is known. */
 	expected: number;
 	/** The slot time that it will take. */
@@ -24,43 +24,43 @@
 };
 
 /** Numbers a request; the number that the chain carries goes before one of our own. */
-export function numberArrival(
+export function prioritizeRequest(
 	call: CallFacts,
 	options: AdmissionOptions,
 	durations: OperationDurations,
 	shares: FairShare,
-): NumberedRequest {
+): PrioritizedRequest {
 	const requestClass = options.classOf(call.requestClass);
-	const expected = expectDuration(durations, call.operation);
+	const expected = expectedDuration(durations, call.operation);
 	const isLong =
-		options.hasLongAmongShort &&
+		options.hasLongOperationLimit &&
 		isLongDuration(expected, typicalDuration(durations));
 	return {
 		call,
 		rank: rankOf(requestClass),
 		isLong,
 		expected,
-		slotTime: expected || unknownDuration,
+		slotTime: expected || defaultDuration,
 		priority:
 			call.priority === undefined
-				? numberAnew({...call, requestClass}, isLong, options, shares)
-				: keepInClass(call.priority, requestClass === 'essential'),
+				? assignPriority({...call, requestClass}, isLong, options, shares)
+				: limitToClass(call.priority, requestClass === 'essential'),
 	};
 }
 
-function numberAnew(
+function assignPriority(
 	{id, requestClass, caller, chain = id}: CallFacts,
 	isLong: boolean,
 	options: AdmissionOptions,
 	shares: FairShare,
 ): number {
 	if (options.hasFairShare) {
-		noteDemand(shares, {caller, requestClass});
+		recordDemand(shares, {caller, requestClass});
 	}
 
-	return numberRequest(shares, {requestClass, caller, chain, isLong});
+	return computePriority(shares, {requestClass, caller, chain, isLong});
 }
 
-function keepInClass(priority: number, isEssential: boolean): number {
-	return isEssential ? Math.min(priority, highestEssential) : priority;
+function limitToClass(priority: number, isEssential: boolean): number {
+	return isEssential ? Math.min(priority, maxEssentialPriority) : priority;
 }
--- a/packages/decisions/src/retry-after-time.ts
+++ b/packages/decisions/src/retry-after-time.ts
@@ -13,8 +13,8 @@
  */
 import type {Random} from '@egretspoke/shared';
 
-const longestTime = 30_000;
-const shortestTime = 10;
+const maxTime = 30_000;
+const minTime = 10;
 
 /** What the time is derived from. */
 export type BacklogState = {
@@ -33,9 +33,9 @@
 	{waiting, refused, drainRate, serviceTime}: BacklogState,
 	random: Random,
 ): number {
-	const least = Math.max(shortestTime, serviceTime);
+	const minimum = Math.max(minTime, serviceTime);
 	const backlog = drainRate > 0 ? waiting / drainRate : 0;
-	const spread = drainRate > 0 ? (refused + 1) / drainRate : least;
-	const time = Math.max(least, backlog) + random.fraction() * spread;
-	return Math.round(Math.min(longestTime, time));
+	const spread = drainRate > 0 ? (refused + 1) / drainRate : minimum;
+	const time = Math.max(minimum, backlog) + random.fraction() * spread;
+	return Math.round(Math.min(maxTime, time));
 }
--- a/packages/decisions/src/retry-budget.ts
+++ b/packages/decisions/src/retry-budget.ts
@@ -17,8 +17,8 @@
  */
 import {findOrAdd} from './bounded-table.js';
 
-const earnedShare = 0.1;
-const mostTokens = 10;
+const tokensPerSuccess = 0.1;
+const maxTokens = 10;
 const callerLimit = 1024;
 
 type Tokens = {count: number};
@@ -28,7 +28,7 @@
 
 /** Creates a full budget. */
 export function createRetryBudget(): RetryBudget {
-	return {whole: {count: mostTokens}, byCaller: new Map()};
+	return {whole: {count: maxTokens}, byCaller: new Map()};
 }
 
 /** A request was answered. */
@@ -50,9 +50,9 @@
 }
 
 function tokensOf({byCaller}: RetryBudget, caller: string): Tokens {
-	return findOrAdd(byCaller, caller, callerLimit, () => ({count: mostTokens}));
+	return findOrAdd(byCaller, caller, callerLimit, () => ({count: maxTokens}));
 }
 
 function earn(tokens: Tokens): void {
-	tokens.count = Math.min(mostTokens, tokens.count + earnedShare);
+	tokens.count = Math.min(maxTokens, tokens.count + tokensPerSuccess);
 }
--- a/packages/decisions/src/retry-decision.ts
+++ b/packages/decisions/src/retry-decision.ts
@@ -35,7 +35,7 @@
 };
 
 /** The reaction to the end of an attempt. */
-export function reactTo({result, code}: AttemptResult): RetryReaction {
+export function reactionTo({result, code}: AttemptResult): RetryReaction {
 	if (result === 'unreachable') {
 		return 'elsewhere';
 	}
--- a/packages/decisions/src/routing-group.ts
+++ b/packages/decisions/src/routing-group.ts
@@ -5,7 +5,7 @@
 import {createRetryBudget, type RetryBudget} from './retry-budget.js';
 import {createTargetView, type TargetView} from './target-view.js';
 import type {TypicalDurations} from './typical-durations.js';
-import type {UpstreamRefusal} from './upstream-refusal.js';
+import type {ServiceLevels} from './upstream-refusal.js';
 
 /** The state of one service at an entry node. */
 export type RoutingGroup = EjectionGroup & {
@@ -19,8 +19,8 @@
 	durations: TypicalDurations;
 	load: GroupLoad;
 	/** The moving average of the durations of answered attempts, in milliseconds. */
-	typical: number;
-	levels: UpstreamRefusal;
+	averageDuration: number;
+	levels: ServiceLevels;
 	budget: RetryBudget;
 };
 
@@ -35,7 +35,7 @@
 		ejected: new Set(),
 		durations: new Map(),
 		load: createGroupLoad(),
-		typical: 0,
+		averageDuration: 0,
 		levels: new Map(),
 		budget: createRetryBudget(),
 	};
--- a/packages/decisions/src/routing.ts
+++ b/packages/decisions/src/routing.ts
@@ -3,12 +3,12 @@
  * target is learnt at the end of an attempt; a choice only reads it.
  */
 import {ErrorCode} from '@egretspoke/protocol';
-import {fixedComeBackTime} from './admission-options.js';
+import {fixedRetryAfterTime} from './admission-options.js';
 import {attemptsBelow, hasAttempts} from './chain-attempts.js';
 import {retryAfterTime} from './retry-after-time.js';
-import {judgeTarget} from './ejection.js';
-import {isGroupOverloaded, noteAttempt} from './group-load.js';
-import {highestLevel} from './admission-level.js';
+import {updateEjection} from './ejection.js';
+import {isGroupOverloaded, recordAttempt} from './group-load.js';
+import {maxLevel} from './admission-level.js';
 import {recordDownstreamLevel} from './downstream-levels.js';
 import type {
 	AttemptResult,
@@ -20,7 +20,7 @@
 	RoutingPolicy,
 } from './policy.js';
 import {earnRetry, spendRetry} from './retry-budget.js';
-import {isLoadRefusal, reactTo} from './retry-decision.js';
+import {isLoadRefusal, reactionTo} from './retry-decision.js';
 import {
 	createRoutingGroup,
 	replaceCandidates,
@@ -28,18 +28,22 @@
 } from './routing-group.js';
 import {chooseTarget, createChoiceOptions} from './target-choice.js';
 import {
-	noteEnd,
-	noteFailure,
-	noteReport,
-	noteSlowness,
-	noteStart,
+	recordEnd,
+	recordFailure,
+	recordReport,
+	recordSlowness,
+	recordStart,
 } from './target-view.js';
 import {drawOne} from './two-choices.js';
-import {learnTypical, typicalOf} from './typical-durations.js';
-import {isRefusedUpstream, noteLevel, seenLevel} from './upstream-refusal.js';
+import {updateTypical, typicalOf} from './typical-durations.js';
+import {
+	isRefusedUpstream,
+	recordLevel,
+	observedLevel,
+} from './upstream-refusal.js';
 
 /** Attempts at every layer while the chain's attempts are switched off. */
-const uncountedAttempts = 3;
+const defaultAttempts = 3;
 /** Ends that say something of the target's speed. */
 const isAnswer: Partial<Record<AttemptResult['result'], boolean>> = {ok: true};
 /** Ends that say that the target itself failed. */
@@ -55,7 +59,7 @@
 	const hasUpstreamRefusal = !without?.has('upstream-refusal');
 	const hasRetryBudget = !without?.has('retry-budget');
 	const hasChainAttempts = !without?.has('chain-attempts');
-	const hasComeBackTimes = !without?.has('come-back-times');
+	const hasRetryAfterTimes = !without?.has('come-back-times');
 	const groups = new Map<string, RoutingGroup>();
 
 	const groupOf = (service: string) => {
@@ -72,15 +76,15 @@
 		group: RoutingGroup,
 		code: ErrorCode,
 		reason: string,
-		told?: number,
+		reportedRetryAfter?: number,
 	): RefusalDecision => {
-		if (told !== undefined || !hasComeBackTimes) {
-			const retryAfter = told ?? fixedComeBackTime;
+		if (reportedRetryAfter !== undefined || !hasRetryAfterTimes) {
+			const retryAfter = reportedRetryAfter ?? fixedRetryAfterTime;
 			return {kind: 'refuse', code, reason, retryAfter};
 		}
 
 		// One service time of the whole group, spread over as much again for each tenth that is refused.
-		const serviceTime = group.typical;
+		const serviceTime = group.averageDuration;
 		const retryAfter = retryAfterTime(
 			{
 				waiting: 0,
@@ -100,7 +104,9 @@
 	): RoutingDecision => {
 		const group = groupOf(call.service);
 		if (hasUpstreamRefusal && isRefusedUpstream(group.levels, call, now)) {
-			const level = Math.round(seenLevel(group.levels, call.operation, now));
+			const level = Math.round(
+				observedLevel(group.levels, call.operation, now),
+			);
 			if (below) {
 				recordDownstreamLevel(below, call.chain ?? call.id, {
 					service: call.service,
@@ -136,14 +142,14 @@
 		const view = group.byNode.get(result.node);
 		const typical = typicalOf(group.durations, call.operation);
 		if (view) {
-			noteEnd(view, call.id);
-			noteFailure(view, isFault[result.result] === true);
+			recordEnd(view, call.id);
+			recordFailure(view, isFault[result.result] === true);
 		}
 
-		noteAttempt(group.load, isLoadRefusal(result));
+		recordAttempt(group.load, isLoadRefusal(result));
 		if (isAnswer[result.result]) {
-			learnTypical(group.durations, call.operation, result.duration);
-			group.typical += (result.duration - group.typical) / 16;
+			updateTypical(group.durations, call.operation, result.duration);
+			group.averageDuration += (result.duration - group.averageDuration) / 16;
 			earnRetry(group.budget, call.caller);
 		}
 
@@ -151,15 +157,15 @@
 			return;
 		}
 
-		const isWhole = isAnswer[result.result] === true;
+		const isComplete = isAnswer[result.result] === true;
 		const ratio = typical > 0 ? result.duration / typical : 1;
-		if (isWhole) {
-			noteSlowness(view, ratio, now);
+		if (isComplete) {
+			recordSlowness(view, ratio, now);
 		}
 
 		if (choiceOptions.hasEjection) {
 			const other = drawOne(group.views, (each) => each !== view, random);
-			judgeTarget(group, view, {ratio, isWhole, other}, now);
+			updateEjection(group, view, {ratio, isComplete, other}, now);
 		}
 	};
 
@@ -172,7 +178,7 @@
 			const group = groupOf(call.service);
 			const view = group.byNode.get(node);
 			if (view) {
-				noteStart(
+				recordStart(
 					view,
 					call.id,
 					typicalOf(group.durations, call.operation),
@@ -185,7 +191,7 @@
 			learn(group, call, result, now);
 			if (result.load) {
 				const {level} = result.load;
-				noteLevel(group.levels, call.operation, level, now);
+				recordLevel(group.levels, call.operation, level, now);
 				if (below) {
 					const chain = call.chain ?? call.id;
 					const {service} = call;
@@ -196,12 +202,12 @@
 		observe(service, node, report, now) {
 			const view = groups.get(service)?.byNode.get(node);
 			if (view) {
-				noteReport(view, report, now);
+				recordReport(view, report, now);
 			}
 		},
 		retry(call, result, now): RetryDecision {
 			const group = groupOf(call.service);
-			const refusal = barOf(group, call, result, now);
+			const refusal = retryObstacle(group, call, result, now);
 			if (refusal) {
 				const [code, reason] = refusal;
 				return refuse(group, code, reason, result.retryAfter);
@@ -224,18 +230,18 @@
 			};
 		},
 		downstreamAttempts: (call) =>
-			hasChainAttempts ? attemptsBelow(call) : uncountedAttempts,
+			hasChainAttempts ? attemptsBelow(call) : defaultAttempts,
 	};
 
 	/** Why there is no further attempt, if so. */
-	function barOf(
+	function retryObstacle(
 		group: RoutingGroup,
 		call: CallFacts,
 		result: AttemptResult,
 		now: number,
 	): [ErrorCode, string] | undefined {
 		const code = result.code ?? ErrorCode.Overloaded;
-		const reaction = reactTo(result);
+		const reaction = reactionTo(result);
 		if (reaction === 'never') {
 			return [code, 'it would end the same elsewhere'];
 		}
@@ -248,10 +254,10 @@
 			return [ErrorCode.DeadlinePassed, 'the deadline has passed'];
 		}
 
-		const level = seenLevel(group.levels, call.operation, now);
+		const level = observedLevel(group.levels, call.operation, now);
 		if (
 			reaction === 'ifGroupAllows' &&
-			(isGroupOverloaded(group.load) || level < highestLevel)
+			(isGroupOverloaded(group.load) || level < maxLevel)
 		) {
 			return [code, `${call.service} is overloaded as a whole`];
 		}
--- a/packages/decisions/src/slot-table.ts
+++ b/packages/decisions/src/slot-table.ts
@@ -4,22 +4,22 @@
  */
 import {
 	createConcurrencyLimit,
-	noteFull,
-	noteLatency,
-	noteShed,
+	recordFull,
+	recordLatency,
+	recordShed,
 } from './concurrency-limit.js';
 import type {AdmissionOptions} from './admission-options.js';
 import {beginChain, endChain} from './downstream-levels.js';
 import {
 	averageSlots,
 	countSlot,
-	createLongAmongShort,
+	createSlotUsage,
 	mayRunLong,
-} from './long-among-short.js';
+} from './long-operation-limit.js';
 import {
 	countRunning,
 	createOperationDurations,
-	learnDuration,
+	recordDuration,
 	scaleToReference,
 	type OperationDurations,
 } from './operation-durations.js';
@@ -42,7 +42,10 @@
 	running(): number;
 	isFree(): boolean;
 	/** Whether one more long request of the class may have a slot. */
-	mayRunLong(rank: number, shortWaiting: (rank: number) => number): boolean;
+	mayRunLong(
+		rank: number,
+		shortWaitingCount: (rank: number) => number,
+	): boolean;
 	/** To be called before anything changes at an instant. */
 	advance(now: number): void;
 	begin(entry: SlotEntry): void;
@@ -51,7 +54,7 @@
 };
 
 /** Whether an end tells how long the operation takes, or only that it is no shorter. */
-const isWholeDuration: Partial<Record<Completion['result'], boolean>> = {
+const isCompleteDuration: Partial<Record<Completion['result'], boolean>> = {
 	ok: true,
 	timeout: false,
 	cancelled: false,
@@ -65,24 +68,24 @@
 	const durations = createOperationDurations();
 	const limit = createConcurrencyLimit(slots);
 	const entries = new Map<string, SlotEntry>();
-	let counts: ReturnType<typeof createLongAmongShort> | undefined;
+	let usage: ReturnType<typeof createSlotUsage> | undefined;
 
 	const learn = ({operation}: CallFacts, {duration, result}: Completion) => {
 		if (result === 'ok') {
-			noteLatency(limit, scaleToReference(durations, operation, duration));
+			recordLatency(limit, scaleToReference(durations, operation, duration));
 		} else if (result === 'shed') {
-			noteShed(limit, entries.size + 1);
+			recordShed(limit, entries.size + 1);
 		}
 
-		const isWhole = isWholeDuration[result];
-		if (isWhole !== undefined) {
-			learnDuration(durations, operation, duration, isWhole);
+		const isComplete = isCompleteDuration[result];
+		if (isComplete !== undefined) {
+			recordDuration(durations, operation, duration, isComplete);
 		}
 	};
 
 	const count = ({call, rank, isLong}: SlotEntry, change: 1 | -1) => {
-		if (counts) {
-			countSlot(counts, rank, isLong, change);
+		if (usage) {
+			countSlot(usage, rank, isLong, change);
 		}
 
 		countRunning(durations, call.operation, change);
@@ -93,19 +96,19 @@
 		limit: () => options.limitOf(limit),
 		running: () => entries.size,
 		isFree: () => entries.size < options.limitOf(limit),
-		mayRunLong: (rank, shortWaiting) =>
-			counts === undefined ||
-			mayRunLong(counts, rank, options.limitOf(limit), shortWaiting),
+		mayRunLong: (rank, shortWaitingCount) =>
+			usage === undefined ||
+			mayRunLong(usage, rank, options.limitOf(limit), shortWaitingCount),
 		advance(now) {
-			counts ??= createLongAmongShort(now);
-			averageSlots(counts, now);
+			usage ??= createSlotUsage(now);
+			averageSlots(usage, now);
 		},
 		begin(entry) {
 			const {call, priority} = entry;
 			entries.set(call.id, entry);
 			count(entry, 1);
 			if (entries.size >= options.limitOf(limit)) {
-				noteFull(limit);
+				recordFull(limit);
 			}
 
 			if (below) {
--- a/packages/decisions/src/slow-start.ts
+++ b/packages/decisions/src/slow-start.ts
@@ -24,5 +24,5 @@
 
 /** Whether one more request may be sent to a target that may be cold. */
 export function mayStart(view: TargetView, now: number): boolean {
-	return !isStarting(view, now) || view.open.size <= view.ends;
+	return !isStarting(view, now) || view.open.size <= view.answerCount;
 }
--- a/packages/decisions/src/target-choice.ts
+++ b/packages/decisions/src/target-choice.ts
@@ -40,12 +40,12 @@
 export function createChoiceOptions(
 	without: ReadonlySet<Mechanism> | undefined,
 ): ChoiceOptions {
-	const isOn = (mechanism: Mechanism) => !without?.has(mechanism);
+	const isEnabled = (mechanism: Mechanism) => !without?.has(mechanism);
 	return {
-		hasTwoChoices: isOn('two-choices'),
-		hasLocality: isOn('locality'),
-		hasSlowStart: isOn('slow-start'),
-		hasEjection: isOn('ejection'),
+		hasTwoChoices: isEnabled('two-choices'),
+		hasLocality: isEnabled('locality'),
+		hasSlowStart: isEnabled('slow-start'),
+		hasEjection: isEnabled('ejection'),
 	};
 }
 
@@ -55,15 +55,15 @@
 	options: ChoiceOptions,
 	{call, exclude, random, now}: ChoiceRequest,
 ): TargetChoice | undefined {
-	const isOpen = (view: TargetView) =>
+	const isAvailable = (view: TargetView) =>
 		hasConnection(view) && !exclude.includes(view.candidate.node);
-	const counts = options.hasEjection && !isPanic(group);
+	const appliesEjections = options.hasEjection && !isPanic(group);
 	const mayChoose = (view: TargetView) =>
-		isOpen(view) &&
-		!(counts && isEjected(view, now)) &&
+		isAvailable(view) &&
+		!(appliesEjections && isEjected(view, now)) &&
 		(!options.hasSlowStart || mayStart(view, now));
 	if (!options.hasTwoChoices) {
-		return drawAny(group, mayChoose, isOpen, random);
+		return drawAny(group, mayChoose, isAvailable, random);
 	}
 
 	const draw = (mayDraw: (view: TargetView) => boolean) =>
@@ -73,14 +73,14 @@
 	let [first, second] = draw(mayChoose);
 	if (!first) {
 		// A group that has just been started, or stands out as a whole, still serves.
-		[first, second] = draw(isOpen);
+		[first, second] = draw(isAvailable);
 	}
 
 	if (!first) {
-		return drawAny(group, mayChoose, isOpen, random);
+		return drawAny(group, mayChoose, isAvailable, random);
 	}
 
-	if (counts && call.requestClass !== 'essential') {
+	if (appliesEjections && call.requestClass !== 'essential') {
 		const probed = [first, second].find(
 			(view) => view && isDueForProbe(view, now),
 		);
@@ -137,13 +137,13 @@
 function drawAny(
 	group: RoutingGroup,
 	mayChoose: (view: TargetView) => boolean,
-	isOpen: (view: TargetView) => boolean,
+	isAvailable: (view: TargetView) => boolean,
 	random: Random,
 ): TargetChoice | undefined {
 	const active =
 		drawOne(group.views, mayChoose, random) ??
-		drawOne(group.views, isOpen, random);
-	const view = active ?? drawOne(group.suspect, isOpen, random);
+		drawOne(group.views, isAvailable, random);
+	const view = active ?? drawOne(group.suspect, isAvailable, random);
 	return (
 		view && {
 			view,
--- a/packages/decisions/src/target-view.ts
+++ b/packages/decisions/src/target-view.ts
@@ -1,19 +1,19 @@
 /** What an entry node has seen of one target. */
 import type {LoadReport} from '@egretspoke/protocol';
 import type {RoutingCandidate} from './policy.js';
-import {moveAverage} from './rate-of-change.js';
+import {updateAverage} from './rate-of-change.js';
 
 /** Ends over which a target's slowness and failures are averaged. */
-const seenSpan = 16;
+const averageSpan = 16;
 /** A report counts for so long, in milliseconds; it is late when it comes and says nothing of later. */
-const reportMemory = 1000;
+const reportLifetime = 1000;
 /**
  * Milliseconds after which a slowness that nobody confirms is down to 1/e: a
  * target that is avoided sends no news, and must get another chance.
  */
-const slownessMemory = 10_000;
+const slownessDecayTime = 10_000;
 /** The longest duration that one end may count for, relative to the expected one. */
-const largestRatio = 64;
+const maxRatio = 64;
 
 /** An attempt in flight; `expected` is 0 when nothing was known of its operation. */
 type OpenAttempt = {startedAt: number; expected: number};
@@ -23,7 +23,7 @@
 const stuckFactor = 1.5;
 const stuckSlowness = 2;
 /** Attempts looked at for this, from the oldest. */
-const stuckLook = 8;
+const maxStuckChecks = 8;
 
 /** One target as this node sees it. */
 export type TargetView = {
@@ -40,9 +40,9 @@
 	slownessLog: number;
 	/** The moving average of ends that failed, from 0 to 1. */
 	failures: number;
-	ends: number;
+	answerCount: number;
 	/** When `slownessLog` last moved. */
-	seenAt: number;
+	slownessAt: number;
 	/** Load for each slot, as last reported, and when. */
 	reported: number;
 	reportedAt: number;
@@ -65,8 +65,8 @@
 		lastEndedStart: Number.NEGATIVE_INFINITY,
 		slownessLog: 0,
 		failures: 0,
-		ends: 0,
-		seenAt: 0,
+		answerCount: 0,
+		slownessAt: 0,
 		reported: 0,
 		reportedAt: Number.NEGATIVE_INFINITY,
 		sinceReport: 0,
@@ -76,7 +76,7 @@
 }
 
 /** An attempt was sent. */
-export function noteStart(
+export function recordStart(
 	view: TargetView,
 	id: string,
 	expected: number,
@@ -92,7 +92,7 @@
 }
 
 /** It has ended, however; false when it isn't in flight. */
-export function noteEnd(view: TargetView, id: string): boolean {
+export function recordEnd(view: TargetView, id: string): boolean {
 	const attempt = view.open.get(id);
 	if (!attempt) {
 		return false;
@@ -111,33 +111,31 @@
 }
 
 /** Learns how long an answered request took, relative to what was expected. */
-export function noteSlowness(
+export function recordSlowness(
 	view: TargetView,
 	ratio: number,
 	now: number,
 ): void {
-	view.slownessLog = rememberedLog(view, now);
-	view.seenAt = now;
-	view.ends++;
-	const value = Math.log(
-		Math.min(largestRatio, Math.max(1 / largestRatio, ratio)),
-	);
-	view.slownessLog = moveAverage(
+	view.slownessLog = decayedLog(view, now);
+	view.slownessAt = now;
+	view.answerCount++;
+	const value = Math.log(Math.min(maxRatio, Math.max(1 / maxRatio, ratio)));
+	view.slownessLog = updateAverage(
 		view.slownessLog,
 		value,
 		// A few samples count as if the first ones had been ordinary.
-		view.ends + 4,
-		seenSpan,
+		view.answerCount + 4,
+		averageSpan,
 	);
 }
 
 /** Learns whether a request failed for a reason other than load. */
-export function noteFailure(view: TargetView, hasFailed: boolean): void {
-	view.failures += ((hasFailed ? 1 : 0) - view.failures) / seenSpan;
+export function recordFailure(view: TargetView, hasFailed: boolean): void {
+	view.failures += ((hasFailed ? 1 : 0) - view.failures) / averageSpan;
 }
 
 /** Learns what the target's node reports. */
-export function noteReport(
+export function recordReport(
 	view: TargetView,
 	{inFlight, waiting, limit}: LoadReport,
 	now: number,
@@ -155,7 +153,7 @@
 export function pressureOf(view: TargetView, now: number): number {
 	const slots = Math.max(1, view.candidate.slots);
 	const own = view.open.size / slots;
-	if (now - view.reportedAt > reportMemory) {
+	if (now - view.reportedAt > reportLifetime) {
 		return own;
 	}
 
@@ -168,16 +166,16 @@
  * before the first of them ends.
  */
 export function slownessOf(view: TargetView, now: number): number {
-	const remembered = Math.exp(rememberedLog(view, now));
-	const seen = isStuck(view, now)
-		? Math.max(remembered, stuckSlowness)
-		: remembered;
+	const decayed = Math.exp(decayedLog(view, now));
+	const observed = isStuck(view, now)
+		? Math.max(decayed, stuckSlowness)
+		: decayed;
 	if (view.expectedCount < 2) {
-		return seen;
+		return observed;
 	}
 
 	const age = view.expectedCount * now - view.startedSum;
-	return Math.max(seen, age / view.expectedSum);
+	return Math.max(observed, age / view.expectedSum);
 }
 
 /**
@@ -187,10 +185,13 @@
  * attempts in one case of 23, and then costs only a few choices.
  */
 function isStuck({open, lastEndedStart}: TargetView, now: number): boolean {
-	let looked = 0;
+	let checked = 0;
 	let late = 0;
 	for (const {startedAt, expected} of open.values()) {
-		if (++looked > stuckLook || now - startedAt <= stuckFactor * expected) {
+		if (
+			++checked > maxStuckChecks ||
+			now - startedAt <= stuckFactor * expected
+		) {
 			return false;
 		}
 
@@ -202,8 +203,11 @@
 	return false;
 }
 
-function rememberedLog({slownessLog, seenAt}: TargetView, now: number): number {
+function decayedLog(
+	{slownessLog, slownessAt}: TargetView,
+	now: number,
+): number {
 	return slownessLog === 0
 		? 0
-		: slownessLog * Math.exp((seenAt - now) / slownessMemory);
+		: slownessLog * Math.exp((slownessAt - now) / slownessDecayTime);
 }
--- a/packages/decisions/src/two-choices.ts
+++ b/packages/decisions/src/two-choices.ts
@@ -22,10 +22,10 @@
 import type {Random} from '@egretspoke/shared';
 import {pressureOf, slownessOf, type TargetView} from './target-view.js';
 
-const ordinarySlowness = 1.5;
+const normalSlowness = 1.5;
 /** Half a slot's load: an idle target is not free, so that slowness counts there too. */
 const idleCost = 0.5;
-const drawLimit = 6;
+const maxDraws = 6;
 
 /** What matters before the cost: a free slot, even a slow one, but first an ordinary one. */
 const tiers = {free: 0, slow: 1, full: 2, tooSlow: 3} as const;
@@ -46,10 +46,10 @@
 	now: number,
 ): Suitability {
 	const slowness = slownessOf(view, now);
-	const counted = slowness <= ordinarySlowness ? 1 : slowness;
+	const effectiveSlowness = slowness <= normalSlowness ? 1 : slowness;
 	const pressure = pressureOf(view, now);
-	const cost = counted * (pressure + idleCost);
-	if (counted * typical > timeLeft) {
+	const cost = effectiveSlowness * (pressure + idleCost);
+	if (effectiveSlowness * typical > timeLeft) {
 		return {tier: tiers.tooSlow, cost};
 	}
 
@@ -57,7 +57,7 @@
 		return {tier: tiers.full, cost};
 	}
 
-	return {tier: counted > 1 ? tiers.slow : tiers.free, cost};
+	return {tier: effectiveSlowness > 1 ? tiers.slow : tiers.free, cost};
 }
 
 /** Whether the first suits better; of two alike it is the first. */
@@ -78,7 +78,7 @@
 		return [];
 	}
 
-	for (let draw = 0; draw < drawLimit; draw++) {
+	for (let draw = 0; draw < maxDraws; draw++) {
 		const view = pool[random.below(pool.length)]!;
 		if (view === first || !mayChoose(view)) {
 			continue;
@@ -91,7 +91,7 @@
 		first = view;
 	}
 
-	return first ? [first] : walk(pool, mayChoose, random);
+	return first ? [first] : scan(pool, mayChoose, random);
 }
 
 /** One draw of a pool, without regard to its cost. */
@@ -100,17 +100,17 @@
 	mayChoose: (view: TargetView) => boolean,
 	random: Random,
 ): TargetView | undefined {
-	for (let draw = 0; draw < drawLimit && pool.length > 0; draw++) {
+	for (let draw = 0; draw < maxDraws && pool.length > 0; draw++) {
 		const view = pool[random.below(pool.length)]!;
 		if (mayChoose(view)) {
 			return view;
 		}
 	}
 
-	return walk(pool, mayChoose, random)[0];
+	return scan(pool, mayChoose, random)[0];
 }
 
-function walk(
+function scan(
 	pool: readonly TargetView[],
 	mayChoose: (view: TargetView) => boolean,
 	random: Random,
--- a/packages/decisions/src/typical-durations.ts
+++ b/packages/decisions/src/typical-durations.ts
@@ -23,7 +23,7 @@
 }
 
 /** Learns from an answered request. */
-export function learnTypical(
+export function updateTypical(
 	durations: TypicalDurations,
 	operation: string,
 	duration: number,
--- a/packages/decisions/src/upstream-refusal.ts
+++ b/packages/decisions/src/upstream-refusal.ts
@@ -16,7 +16,7 @@
  * fast that an opened level is known within the round trip after it.
  */
 import {rankOf} from '@egretspoke/protocol';
-import {highestLevel, sharesPerClass} from './admission-level.js';
+import {maxLevel, prioritiesPerClass} from './admission-level.js';
 import {findOrAdd} from './bounded-table.js';
 import {
 	addLevel,
@@ -29,54 +29,55 @@
 const operationLimit = 256;
 const probeInterval = 100;
 
-type SeenLevel = {samples: LevelSamples; probedAt: number};
+type ObservedLevel = {samples: LevelSamples; probedAt: number};
 
 /** The levels of one service by operation. */
-export type UpstreamRefusal = Map<string, SeenLevel>;
+export type ServiceLevels = Map<string, ObservedLevel>;
 
 /** Learns the level that an answer to the operation brought. */
-export function noteLevel(
-	state: UpstreamRefusal,
+export function recordLevel(
+	state: ServiceLevels,
 	operation: string,
 	level: number,
 	now: number,
 ): void {
-	const seen = findOrAdd(state, operation, operationLimit, () => ({
+	const observed = findOrAdd(state, operation, operationLimit, () => ({
 		samples: createLevelSamples(),
 		probedAt: now,
 	}));
-	addLevel(seen.samples, level, now);
+	addLevel(observed.samples, level, now);
 }
 
 /** The level that holds for the operation now. */
-export function seenLevel(
-	state: UpstreamRefusal,
+export function observedLevel(
+	state: ServiceLevels,
 	operation: string,
 	now: number,
 ): number {
-	const seen = state.get(operation);
-	return seen ? currentLevel(seen.samples, now) : highestLevel;
+	const observed = state.get(operation);
+	return observed ? currentLevel(observed.samples, now) : maxLevel;
 }
 
 /** Whether the request is doomed; one in each interval passes as a probe. */
 export function isRefusedUpstream(
-	state: UpstreamRefusal,
+	state: ServiceLevels,
 	call: CallFacts,
 	now: number,
 ): boolean {
-	const seen = state.get(call.operation);
-	if (!seen) {
+	const observed = state.get(call.operation);
+	if (!observed) {
 		return false;
 	}
 
 	// Without a number only a class that is shut as a whole can be told.
-	const priority = call.priority ?? rankOf(call.requestClass) * sharesPerClass;
-	if (priority <= currentLevel(seen.samples, now)) {
+	const priority =
+		call.priority ?? rankOf(call.requestClass) * prioritiesPerClass;
+	if (priority <= currentLevel(observed.samples, now)) {
 		return false;
 	}
 
-	if (now - seen.probedAt >= probeInterval) {
-		seen.probedAt = now;
+	if (now - observed.probedAt >= probeInterval) {
+		observed.probedAt = now;
 		return false;
 	}
 
