--- a/packages/decisions/src/admission-level.ts
+++ b/packages/decisions/src/admission-level.ts
@@ -1,83 +1,92 @@
 /**
- * The admission level: the highest priority number that is let in while the
+ * The admission level: the highest priority number that is admitted while the
  * target is saturated (DAGOR, Zhou et al., SoCC 2018).
  *
- * Load pattern: more work arrives than the slots can run. Without a level the
- * queue refuses whichever request happens to wait longest, each layer another
- * one, so that the calls of one request are refused here and run there; one
- * notices a deepest service that is fully busy while few whole requests end
- * well. A priority number that is the same at every layer makes all layers
- * refuse the same requests, and lets the layers above refuse them first.
+ * Load pattern: more work arrives than the slots can run. Without a level each
+ * layer refuses different requests, those that happen to wait longest, so that
+ * the calls of one request are refused at one service and run at another; the
+ * deepest service is fully busy while few whole requests succeed. The priority
+ * number is the same at every layer, so all layers refuse the same requests,
+ * and upper layers can refuse them first.
  *
- * The level is set once a window from three measured quantities: the work that
- * arrived by priority number, the slot time that the window offered, and the
- * queue. Work is counted in slot time (milliseconds for which a request holds
- * a slot), so that long requests count for what they take.
- *
- * Thresholds: a window is two service times, since the effect of a level shows
- * in the queue after about one; the queue aimed at is half a service time of
- * all slots, which covers the chance variation of arrivals in a window; a
- * target is idle to a purpose when more than a twentieth of its slot time was
- * unused.
+ * Once a window the level is computed from the work that arrived by priority
+ * number, the available slot time and the queue. Work is measured in slot time
+ * (milliseconds for which a request holds a slot), so that long requests count
+ * for what they take.
  */
 import {limitChange} from './rate-of-change.js';
 
-/** Numbers for each class: class rank * 128 + share. */
+/** Priority numbers of a class: class rank * 128 + share. */
 export const prioritiesPerClass = 128;
 
-/** The level that lets everything in. */
+/** The level that admits all requests. */
 export const maxLevel = 383;
 
 /** The highest priority number of an essential request. */
 export const maxEssentialPriority = prioritiesPerClass - 1;
 
-/** The lowest level: a twentieth of the essential band is never shut, so that the level can be learnt anew. */
+/**
+ * The lowest level. A twentieth of the essential band is always admitted, so
+ * that there are arrivals from which the level can recover.
+ */
 export const minLevel = 6;
 
-/** Opening may double: while slots are idle there is no queue that an overshoot could lengthen. */
+/**
+ * The admitted work may double: while slots are idle there is no queue that an
+ * overshoot could lengthen.
+ */
 const raiseBounds = {down: 1, up: 2};
+/** Milliseconds. */
 const minWindow = 200;
+/** A window is two service times, because a level affects the queue after about one. */
 const windowServiceTimes = 2;
-/** The queue aimed at, in service times. */
+/**
+ * The desired queue, in service times of all slots. Half a service time covers
+ * the random variation of arrivals in a window.
+ */
 export const desiredQueueTime = 0.5;
+/** The unused ratio of slot time above which the target counts as idle. */
 const idleThreshold = 0.05;
-/** The most by which the level rises in a window: half a class. */
+/** The maximum rise of the level in a window: half a class. */
 const maxRise = prioritiesPerClass / 2;
-/** The weight of a window in the demand up to the level. */
+/** The weight of a window in the average demand up to the level. */
 const demandWeight = 0.5;
-/** What is kept a window of the demand known above the level: half after about three seconds, and after less than one while slots are idle. */
+/**
+ * Decay per window of the recorded demand above the level: half is left after
+ * about three seconds, or after less than one while slots are idle.
+ */
 const decayAboveLevel = 0.95;
 const decayAboveLevelIdle = 0.8;
 
-/** The state of one target's level. */
+/** The level of one target. */
 export type AdmissionLevel = {
 	level: number;
 	/** Slot time that arrived in this window, by priority number. */
 	arrived: Float64Array;
-	/** Slot time that arrives a millisecond, by priority number. */
+	/** Slot time that arrives per millisecond, by priority number. */
 	demand: Float64Array;
-	/** Windows that `demand` was learnt from. */
+	/** Number of windows in `demand`. */
 	windows: number;
 	windowStart: number;
-	/** Slot time used in this window, and until when it is counted. */
+	/** Slot time used in this window, and the time up to which it is counted. */
 	used: number;
 	countedUntil: number;
-	/** Refused in the window, and before it, for the come-back time. */
+	/** Requests refused in this window and in the last one, for the retry-after time. */
 	refused: number;
 	refusedInLastWindow: number;
 };
 
-/** What the target looks like when a window closes. */
+/** The state of the target at the end of a window. */
 export type TargetState = {
-	/** Slots in force. */
+	/** The number of slots in use by the concurrency limit. */
 	limit: number;
-	/** What waits. */
+	/** The waiting requests. */
 	waiting: Iterable<{priority: number; slotTime: number}>;
-	/** The average service time. */
+	/** The average service time, in milliseconds. */
 	serviceTime: number;
 };
 
-/** Creates an open level. */
+/** Creates a level that admits all requests. */
 export function createAdmissionLevel(now: number): AdmissionLevel {
 	return {
 		level: maxLevel,
@@ -92,7 +101,10 @@
 	};
 }
 
-/** Counts the slot time used since the last call; to be called before the requests in flight change. */
+/**
+ * Records the slot time used since the last call. Must be called before the
+ * number of requests in flight changes.
+ */
 export function recordSlotTime(
 	state: AdmissionLevel,
 	inFlight: number,
@@ -102,7 +114,7 @@
 	state.countedUntil = now;
 }
 
-/** Counts an arrival with the slot time that it will take. */
+/** Records an arrival with its expected slot time. */
 export function recordArrival(
 	state: AdmissionLevel,
 	priority: number,
@@ -111,7 +123,7 @@
 	state.arrived[priority]! += slotTime;
 }
 
-/** Whether the window is over; cheap enough for every call. */
+/** Whether the window is over; called for every request. */
 export function isWindowOver(
 	state: AdmissionLevel,
 	serviceTime: number,
@@ -125,7 +137,7 @@
 	return Math.max(minWindow, windowServiceTimes * serviceTime);
 }
 
-/** Sets the level for the next window. */
+/** Computes the level of the next window. */
 export function closeLevelWindow(
 	state: AdmissionLevel,
 	target: TargetState,
@@ -146,9 +158,10 @@
 }
 
 /**
- * Up to the level all demand arrives here. Above it the layers above refuse,
- * so that few arrivals there don't mean little demand: what was seen when the
- * level was higher is forgotten slowly, faster while slots are idle.
+ * Updates the average demand. All demand up to the level arrives here, but
+ * upper layers refuse requests above it, so few arrivals there don't mean
+ * little demand. The demand recorded while the level was higher therefore
+ * decays slowly, and faster while slots are idle.
  */
 function updateDemand(
 	state: AdmissionLevel,
@@ -165,7 +178,7 @@
 	}
 }
 
-/** The level that lets in as much more as slots were idle. */
+/** The level that admits as much more work as the idle slots can run. */
 function levelForIdleSlots(state: AdmissionLevel, idle: number): number {
 	const admitted = sumUpTo(state.demand, state.level);
 	const wanted = limitChange(
@@ -176,7 +189,7 @@
 	return raise(state, wanted - admitted);
 }
 
-/** The level up to which what waits and what will arrive fills the slots and the aimed queue. */
+/** The level at which waiting and expected requests fill the slots and the desired queue. */
 function levelForSaturation(
 	state: AdmissionLevel,
 	{limit, serviceTime, waiting}: TargetState,
@@ -213,8 +226,9 @@
 }
 
 /**
- * Raises the level until so much more a millisecond is let in. A number of
- * which nothing is known counts for the average of the numbers below.
+ * Raises the level until the additional demand reaches `more`, in slot time
+ * per millisecond. A number without recorded demand counts as the average of
+ * the numbers below the level.
  */
 function raise(state: AdmissionLevel, more: number): number {
 	if (state.level >= maxLevel || more <= 0) {
--- a/packages/decisions/src/admission-options.ts
+++ b/packages/decisions/src/admission-options.ts
@@ -1,4 +1,4 @@
-/** What the switched-off mechanisms are replaced by, as lookup tables. */
+/** The switches of admission, with the replacements for switched-off mechanisms. */
 import {requestClasses, type RequestClass} from '@egretspoke/protocol';
 import {queueExpiry} from './admission-queue.js';
 import {maxLevel} from './admission-level.js';
@@ -8,12 +8,12 @@
 import {downstreamLevel} from './downstream-levels.js';
 import type {AdmissionContext, Mechanism} from './policy.js';
 
-/** What every caller is told while come-back times are switched off, in milliseconds. */
+/** The retry-after time while `come-back-times` is switched off, in milliseconds. */
 export const fixedRetryAfterTime = 250;
 
-/** The admission's behaviour, by what is switched on. */
+/** The behaviour of admission by switched-on mechanisms. */
 export type AdmissionOptions = {
-	/** Classes that are told apart. */
+	/** The number of classes that are distinguished. */
 	classes: number;
 	hasQueueTime: boolean;
 	hasFeasibility: boolean;
@@ -28,7 +28,7 @@
 	retryAfterTime(backlog: BacklogState): number;
 };
 
-/** Reads the context's switches once. */
+/** Reads the switched-off mechanisms once. */
 export function createAdmissionOptions(
 	context: AdmissionContext,
 ): AdmissionOptions {
--- a/packages/decisions/src/admission-queue.ts
+++ b/packages/decisions/src/admission-queue.ts
@@ -1,23 +1,17 @@
 /**
  * The requests that wait for a slot.
  *
- * Load pattern: a burst, and then overload that stays. A queue bounded by
- * length is too short for a burst of short work and far too long for slow
- * work: requests wait until their callers have gone, and every slot serves the
- * dead; one notices full slots, a constant queue and hardly a whole answer.
- * So the bound is time. An essential request waits as long as it can still end
- * in time; any other for a quarter of the time that it has left, so that four
- * layers may each keep it waiting. Once the queue has stood for a whole window
- * (CoDel, Nichols & Jacobson 2012), waiting no longer smooths a burst but only
- * delays everybody; then what is over its caller's share, and so never gets a
- * slot while anything else waits, goes after one service time.
+ * Load pattern: a burst, or lasting overload. A queue bounded by length is too
+ * short for a burst of short work and far too long for slow work: requests
+ * wait until their callers have given up, and the slots run requests that no
+ * client waits for. The bound is therefore time.
  *
- * Slots go by priority number, and so by class, then by share: what is refused
- * for want of time is then the same as what the level refuses, here and at
- * every other layer. In the order of arrival each layer would refuse other
- * requests, and few would be whole. At the same number the newest goes first,
- * since it has the most time left (adaptive LIFO, Maurer, "Fail at Scale",
- * 2015).
+ * Slots go by priority number, that is by class and then by share, so that
+ * requests which expire here are those that the level refuses here and at
+ * every other layer. In order of arrival each layer would refuse different
+ * requests, and few whole requests would succeed. At equal priority the newest
+ * request goes first, because it has the most time left (adaptive LIFO,
+ * Maurer, "Fail at Scale", 2015).
  */
 import {prioritiesPerClass} from './admission-level.js';
 import {isOverSharePriority} from './fair-share.js';
@@ -30,42 +24,51 @@
 } from './lazy-heap.js';
 import type {CallFacts} from './policy.js';
 
-/** A request that waits. */
+/** A waiting request. */
 export type QueueEntry = Removable & {
 	call: CallFacts;
-	/** Its class. */
+	/** The rank of its class. */
 	rank: number;
 	isLong: boolean;
 	priority: number;
 	since: number;
-	/** The latest start from which it can end in time. */
+	/** The latest start at which it can still end before its deadline. */
 	latestStart: number;
-	/** When it is given up: at its latest start, or earlier when its patience is over. */
+	/** When it is refused: at `latestStart`, or earlier when it has reached its maximum wait. */
 	expiresAt: number;
-	/** Slot time that it will take. */
+	/** Its expected slot time, in milliseconds. */
 	slotTime: number;
 };
 
-/** What waits in one class. */
+/** The totals of the waiting requests of one class. */
 type ClassSum = {shortTime: number; longTime: number; shortCount: number};
 
 /** The queue of one target. */
 export type AdmissionQueue = {
-	/** What is within its caller's share and what is over it, in the order of arrival. */
+	/** Requests within and over their caller's share, each in order of arrival. */
 	withinShare: Map<string, QueueEntry>;
 	overShare: Map<string, QueueEntry>;
 	shortByPriority: LazyHeap<QueueEntry>;
 	longByPriority: LazyHeap<QueueEntry>;
 	byExpiry: LazyHeap<QueueEntry>;
-	/** By class rank, and last what is over its caller's share. */
+	/** Totals by class rank; the last entry is for requests over their caller's share. */
 	sums: ClassSum[];
-	/** Since when the queue hasn't been empty; undefined while it is. */
+	/**
+	 * Since when the queue has not been empty; undefined while it is. Once it
+	 * has stood for a whole window (CoDel, Nichols & Jacobson 2012), waiting no
+	 * longer smooths a burst but only delays all requests. Requests over their
+	 * caller's share, which get no slot while others wait, are then refused
+	 * after one service time.
+	 */
 	standingSince: number | undefined;
 };
 
-/** The part of its time that a request other than an essential one waits at one layer. */
+/**
+ * The maximum wait at one layer of a request that isn't essential, as a ratio
+ * of its remaining time; a quarter allows four layers to queue it.
+ */
 const maxWaitShare = 1 / 4;
-/** The class index of what is over its caller's share. */
+/** The index of requests over their caller's share. */
 const overShareClass = 3;
 
 /** Creates an empty queue. */
@@ -85,7 +88,10 @@
 	};
 }
 
-/** When a request that may start until `latest` is given up. */
+/**
+ * When a waiting request expires. An essential request may wait until its
+ * latest start, others only for `maxWaitShare` of their remaining time.
+ */
 export function queueExpiry(
 	rank: number,
 	latestStart: number,
@@ -97,12 +103,12 @@
 		: Math.min(latestStart, now + (deadline - now) * maxWaitShare);
 }
 
-/** How many wait. */
+/** The number of waiting requests. */
 export function queueLength({withinShare, overShare}: AdmissionQueue): number {
 	return withinShare.size + overShare.size;
 }
 
-/** All that wait, in the order of arrival, what is over its caller's share last. */
+/** All waiting requests in order of arrival; those over their caller's share come last. */
 export function* waitingEntries({
 	withinShare,
 	overShare,
@@ -125,7 +131,7 @@
 	);
 }
 
-/** Takes a request out; undefined when it isn't waiting. */
+/** Removes a request; returns undefined when it isn't waiting. */
 export function removeById(
 	queue: AdmissionQueue,
 	id: string,
@@ -138,7 +144,7 @@
 	return entry;
 }
 
-/** Takes all that wait, in the order of arrival. */
+/** Removes and returns all waiting requests, in the order of `waitingEntries`. */
 export function removeAll(queue: AdmissionQueue): QueueEntry[] {
 	const entries = [...waitingEntries(queue)];
 	for (const entry of entries) {
@@ -148,7 +154,7 @@
 	return entries;
 }
 
-/** The request that is given up first. */
+/** The request that expires first. */
 export function firstToExpire(queue: AdmissionQueue): QueueEntry | undefined {
 	return peekItem(queue.byExpiry);
 }
@@ -161,7 +167,7 @@
 	return oldest;
 }
 
-/** Takes the request that gets the next slot. */
+/** Removes and returns the request that gets the next slot. */
 export function dequeue(
 	queue: AdmissionQueue,
 	mayRunLong: (rank: number) => boolean,
@@ -180,17 +186,20 @@
 	return entry;
 }
 
-/** Whether any short request waits. */
+/** Whether a short request waits. */
 export function hasShortWaiting(queue: AdmissionQueue): boolean {
 	return peekItem(queue.shortByPriority) !== undefined;
 }
 
-/** How many short requests of the class wait. */
+/** The number of waiting short requests of the class. */
 export function shortWaitingCount(queue: AdmissionQueue, rank: number): number {
 	return queue.sums[rank]?.shortCount ?? 0;
 }
 
-/** The slot time of what waits in the request's class and those before it; long work doesn't keep short work waiting. */
+/**
+ * The slot time of requests that wait in the same or a higher class. Long
+ * requests are not counted for a short one, because they don't delay it.
+ */
 export function slotTimeAhead(
 	queue: AdmissionQueue,
 	priority: number,
--- a/packages/decisions/src/admission.ts
+++ b/packages/decisions/src/admission.ts
@@ -1,7 +1,8 @@
 /**
- * Admission at the target's node: puts the modules together. A request that
- * arrives gets its priority number, is held against the levels, the deadline
- * and the slots, and runs, waits or is refused; nothing is decided twice.
+ * Admission at the target's node. An arriving request gets its priority
+ * number, is checked against the downstream level, its deadline, the free
+ * slots and the admission level, and then runs, waits or is refused. This
+ * module only combines the others.
  */
 import {ErrorCode} from '@egretspoke/protocol';
 import {
@@ -49,7 +50,7 @@
 import {prioritizeRequest, defaultDuration} from './request-priority.js';
 import {createSlotTable} from './slot-table.js';
 
-/** Milliseconds after which long work that waits beside free slots is looked at again. */
+/** Milliseconds until waiting long requests are checked again while slots are free. */
 const heldRecheckInterval = 100;
 
 /** Creates the admission of one target. */
@@ -62,7 +63,7 @@
 
 	const serviceTime = () => slots.durations.average || defaultDuration;
 
-	/** Brings the measures to this instant; to be called first. */
+	/** Updates the averages and the window to the current time. Must be called first. */
 	const advance = (now: number) => {
 		started ??= {
 			level: createAdmissionLevel(now),
@@ -106,7 +107,7 @@
 		return {kind: 'refuse', code, reason, retryAfter};
 	};
 
-	/** Refuses a request that was counted for its caller. */
+	/** Refuses a request and removes it from its caller's demand. */
 	const refuseAndUncount = (
 		call: CallFacts,
 		code: ErrorCode,
@@ -201,7 +202,7 @@
 		};
 	};
 
-	/** When the oldest request over its share has outstayed in a queue that stands. */
+	/** When the oldest request over its caller's share expires because the queue is standing. */
 	const overShareExpiry = (): number => {
 		const oldest = oldestOverShare(queue)?.since;
 		return oldest === undefined
@@ -209,7 +210,7 @@
 			: Math.max(standingQueueStart(), oldest + serviceTime());
 	};
 
-	/** The next request that is given up now. */
+	/** The next request that has expired. */
 	const nextExpired = (now: number): QueueEntry | undefined => {
 		const first = firstToExpire(queue);
 		if (first && first.expiresAt <= now) {
--- a/packages/decisions/src/concurrency-limit.ts
+++ b/packages/decisions/src/concurrency-limit.ts
@@ -1,58 +1,63 @@
 /**
- * How many requests run at the target at once.
+ * Limits the number of requests that run at the target at once.
  *
- * Load pattern: a target whose real capacity is below the slots it announced,
- * because its processor or a lock is shared. Without a limit of our own its
- * requests slow each other down: each further one adds waiting inside the
- * target, where nothing can refuse it in time, and one notices a latency that
- * rises with the requests in flight while as many complete as before.
+ * Load pattern: the target's real capacity is below its announced slots,
+ * because a processor or a lock is shared. Each further request only adds
+ * waiting inside the target, where it can't be refused in time: latency rises
+ * with the requests in flight while throughput stays the same.
  *
- * Latency alone doesn't tell: it rises as well when something deeper is slow,
- * and a lower limit would then only throw slots away. So a rise starts a
- * trial (after Vegas, Brakmo & Peterson 1995, and the gradient limits built on
- * it): the limit is lowered by a fifth, and if latency falls by at least half
- * of that, the target was crowded and the lower limit stays; if not, the limit
- * comes back and the new latency counts as usual. At saturation with slots as
- * the capacity this costs a fifth of the slots for one window per rise.
- * A window that was full teaches what is usual only as far as chance goes, so
- * that crowding is never taken for usual.
- *
- * Thresholds: a window has two rounds of the limit, so that each slot is
- * sampled twice; latency counts as risen at twice the usual, which the mean of
- * so many samples doesn't reach by chance; the floor is a tenth of the slots,
- * so that a target is never starved by its own slowness.
+ * Latency also rises when a downstream service is slow, and a lower limit
+ * would then only waste slots. A rise therefore starts a trial (after Vegas,
+ * Brakmo & Peterson 1995, and the gradient limits built on it): the limit is
+ * lowered by a fifth. If latency falls by at least half of that, the target
+ * was crowded and the lower limit stays; if not, the limit is restored and the
+ * new latency becomes the baseline. When the slots are the real capacity, this
+ * costs a fifth of the slots for one window per rise.
  */
 
+/** A window has two rounds of the limit, so that each slot is sampled twice. */
 const windowRounds = 2;
 const minWindowSamples = 64;
+/**
+ * Latency counts as risen at twice the baseline; the mean of a window doesn't
+ * reach that by chance.
+ */
 const risenFactor = 2;
-/** Up to here the limit grows; between the two it stays. */
+/** Up to this factor the limit grows; between the two factors it stays. */
 const growthFactor = 1.5;
 const trialFactor = 0.8;
-/** Latency has followed the limit when it fell by half of the limit's step or more. */
+/** Latency has followed the limit when it fell by at least half of the limit's step. */
 const followedFactor = 1 - (1 - trialFactor) / 2;
 const shedFactor = 0.9;
 const growthRatio = 1 / 16;
+/** The minimum limit is a tenth of the slots, so that a slow target still gets work. */
 const minLimitRatio = 1 / 10;
-/** The share by which what is usual moves to the mean of a window in which slots were left. */
+/** The weight of a window with free slots in the baseline. */
 const baselineWeight = 1 / 4;
-/** The same for a full window, and how far its mean may lie from what is usual to count as chance. */
+/**
+ * The weight of a full window, and the maximum relative deviation of its mean
+ * that counts as noise. Larger deviations are ignored upwards, so that
+ * crowding never becomes the baseline.
+ */
 const fullBaselineWeight = 1 / 16;
 const noiseRatio = 1 / 4;
 
 type Trial = {
-	/** The limit before the first of the trials in a row. */
+	/** The limit before the first of several consecutive trials. */
 	from: number;
 	latency: number;
-	/** Ends of requests that began before the trial. */
+	/** Number of requests still to be ignored because they began before the trial. */
 	skip: number;
 };
 
-/** The limit and what it is learnt from. Latencies are those of the reference operation, in milliseconds. */
+/**
+ * The limit and the statistics behind it. Latencies are those of the reference
+ * operation, in milliseconds.
+ */
 export type ConcurrencyLimit = {
 	slots: number;
 	limit: number;
-	/** The latency of an uncrowded target; 0 while nothing is known. */
+	/** The latency of an uncrowded target; 0 while it is unknown. */
 	baseline: number;
 	count: number;
 	sum: number;
@@ -61,7 +66,7 @@
 	trial: Trial | undefined;
 };
 
-/** Starts at the announced slots. */
+/** Creates a limit equal to the announced slots. */
 export function createConcurrencyLimit(slots: number): ConcurrencyLimit {
 	return {
 		slots,
@@ -75,15 +80,15 @@
 	};
 }
 
-/** Learns that all slots of the limit were taken. */
+/** Records that all slots of the limit were taken. */
 export function recordFull(state: ConcurrencyLimit): void {
 	state.wasFull = true;
 }
 
 /**
- * Learns that the target refused a request by itself: the limit is too high,
- * once a window. A refusal while the limit is far from reached has another
- * cause, such as a refusal deeper in the chain.
+ * Records that the target refused a request itself and lowers the limit, at
+ * most once a window. A refusal far below the limit has another cause, such as
+ * a refusal of a downstream service.
  */
 export function recordShed(state: ConcurrencyLimit, inFlight: number): void {
 	if (!state.wasShed && inFlight >= state.limit * shedFactor) {
@@ -96,7 +101,7 @@
 	}
 }
 
-/** Learns the latency of a request that ended, brought to the reference operation. */
+/** Records the latency of a request that ended, scaled to the reference operation. */
 export function recordLatency(state: ConcurrencyLimit, latency: number): void {
 	if (state.trial && state.trial.skip > 0) {
 		state.trial.skip--;
@@ -126,7 +131,7 @@
 		return;
 	}
 
-	// A crowded window doesn't teach what an uncrowded one is like.
+	// A crowded window must not raise the baseline.
 	if (!state.wasFull) {
 		state.baseline += (mean - state.baseline) * baselineWeight;
 	} else if (Math.abs(mean - state.baseline) < noiseRatio * state.baseline) {
@@ -155,7 +160,10 @@
 	);
 }
 
-/** Goes on lowering while latency follows and is still risen; a trial that fails undoes all before it. */
+/**
+ * Continues to lower the limit while latency follows and is still risen. A
+ * failed trial restores the limit from before the first one.
+ */
 function evaluateTrial(
 	state: ConcurrencyLimit,
 	{from, latency}: Trial,
--- a/packages/decisions/src/ejection.ts
+++ b/packages/decisions/src/ejection.ts
@@ -1,26 +1,18 @@
 /**
- * Targets that stand out are left alone for a while.
+ * Excludes outlier targets from routing for some time.
  *
- * Load pattern: one target of a group fails, or answers many times as slowly
- * as the others, while its health endpoint says that all is well. Even a small
- * share of requests sent there makes the service's 99th percentile that
- * target's; one notices a slow tail that no load explains. After an ejection
- * the target gets one request at a time until that one has shown it to be
+ * Load pattern: one target of a group fails, or is many times as slow as the
+ * others, while its health endpoint reports no problem. Even a small ratio of
+ * requests sent there determines the service's 99th percentile. After its
+ * ejection a target gets one request at a time until one shows that it is
  * ordinary again.
  *
- * What could go wrong: a fault that hits all targets ejects all of them, and
- * the few that are left drown. So at most a third of the group is ejected, at
- * least three targets are needed to tell an outlier, slowness ejects only while
- * the others have room for its work and never a target that may be cold, and when fewer than half of the group may
- * be chosen, ejections don't count at all (panic rule).
- *
- * Thresholds: three times the typical duration, as an average over sixteen, is
- * beyond what chance gives; half of sixteen requests failed likewise, if it is
- * twice what another target fails, since a fault deeper in the chain shows at
- * all of them. The
- * first ejection lasts two seconds, each further one in a row twice as long up
- * to half a minute: a target that stays slow then costs one request a node and
- * half minute.
+ * A fault of all targets must not eject all of them, because the remaining
+ * ones would be overloaded. So at most a third of the group is ejected, an
+ * outlier needs a group of at least three, and ejections are ignored when
+ * fewer than half of the group are left (panic rule). Slowness ejects a target
+ * only while the others have room for its work, and never one that may be
+ * cold.
  */
 import {isStarting} from './slow-start.js';
 import {
@@ -30,47 +22,57 @@
 	type TargetView,
 } from './target-view.js';
 
+/** Three times the typical duration, averaged over sixteen requests, exceeds random variation. */
 const slowFactor = 3;
+/**
+ * Half of sixteen requests failed, if it is twice the ratio of another target,
+ * because a fault of a downstream service shows at all of them.
+ */
 const failureShare = 0.5;
+/**
+ * Milliseconds of the first ejection. Each consecutive one is twice as long up
+ * to half a minute; a target that stays slow then costs each node one request
+ * per half minute.
+ */
 const firstDuration = 2000;
 const maxDuration = 30_000;
 const maxEjectedShare = 1 / 3;
-/** From this load for each slot on a target has no free slot for the work of another. */
+/** The load per slot from which a target has no free slot for the work of another. */
 const fullPressure = 1;
 
-/** The ejections of a group. */
+/** The ejected targets of a group. */
 export type EjectionGroup = {
 	views: readonly TargetView[];
-	/** Targets with an ejection that hasn't been lifted by a good answer. */
+	/** Targets whose ejection hasn't been lifted by a good answer. */
 	ejected: Set<TargetView>;
 };
 
-/** Whether the target is left alone now; a half-open one takes one request at a time. */
+/** Whether the target is excluded now; a half-open one gets one request at a time. */
 export function isEjected(view: TargetView, now: number): boolean {
 	return view.ejections > 0 && (now < view.ejectedUntil || view.open.size > 0);
 }
 
-/** Whether its time is over and the next request is to show whether it is ordinary again. */
+/** Whether the ejection has expired and the next request is a probe. */
 export function isDueForProbe(view: TargetView, now: number): boolean {
 	return view.ejections > 0 && now >= view.ejectedUntil && view.open.size === 0;
 }
 
-/** Whether the ejections count, or so many are out that they can't be trusted. */
+/** Whether so many targets are ejected that the ejections are ignored. */
 export function isPanic({views, ejected}: EjectionGroup): boolean {
 	return ejected.size * 2 > views.length;
 }
 
-/** How an attempt at a target ended. */
+/** The end of an attempt at a target. */
 export type AttemptEnd = {
-	/** Its duration relative to the typical one; 1 when that isn't known. */
+	/** The duration relative to the typical one; 1 when that is unknown. */
 	ratio: number;
-	/** Whether it was answered; else the duration is only the least that it would have taken. */
+	/** Whether it was answered; otherwise the duration is only a lower bound. */
 	isComplete: boolean;
-	/** Another target of the group to compare with. */
+	/** Another target of the group, for comparison. */
 	other: TargetView | undefined;
 };
 
-/** Ejects the target, lifts its ejection, or leaves it as it is. */
+/** Ejects the target, lifts its ejection, or leaves its state. */
 export function updateEjection(
 	group: EjectionGroup,
 	view: TargetView,
@@ -102,7 +104,7 @@
 	}
 }
 
-/** The end of the request that a half-open target was given. */
+/** Evaluates the end of the request sent to a half-open target. */
 function evaluateProbe(
 	group: EjectionGroup,
 	view: TargetView,
@@ -142,7 +144,7 @@
 	group.ejected.delete(view);
 }
 
-/** Whether another target can take the work; one that stands out itself can't. */
+/** Whether another target can take the work; one that is slow itself can't. */
 function hasSpareCapacity(other: TargetView | undefined, now: number): boolean {
 	return (
 		other !== undefined &&
--- a/packages/decisions/src/fair-share.ts
+++ b/packages/decisions/src/fair-share.ts
@@ -1,71 +1,76 @@
 /**
- * The priority number of a request, and with it the fair share of its caller.
+ * The priority number of a request, which includes the fair share of its
+ * caller.
  *
- * Load pattern: a few callers or keys send most of the load. Without shares
- * every caller is refused in the same proportion, so that a caller which sends
- * ten times its share still gets ten times what the others get, and those
- * within their share lose requests; one notices many callers with a few
- * failures each, and one caller behind all of it.
+ * Load pattern: a few callers send most of the load. Without shares all
+ * callers are refused in the same proportion: a caller that sends ten times
+ * its share gets ten times what the others get, and those within their share
+ * lose requests.
  *
- * Each request gets a place within its caller's own demand, drawn from the
- * chain's name: a caller that sent n requests lately has them spread over 0 to
- * n, essential ones first, deferrable ones last. Places up to the heavy count
- * are numbered by class: essential 0 to 127, normal 128 to 255, deferrable 256
- * to 319, in each short operations before long ones. What lies above is
- * numbered 320 to 383 by its place alone, so that a level among these numbers
- * cuts all heavy callers down to the same count and nobody else (max-min
- * fairness, in the shape of core-stateless fair queueing, Stoica et al.,
- * SIGCOMM 1998). Essential work always keeps its class: it yields to essential
- * work only.
- *
- * Thresholds: counts forget with five seconds' time constant, so that a caller
- * of one request a second at this node is seen. The heavy count is twice the
- * median of the callers, and at least what chance gives to a caller with that
- * median (two standard deviations of a Poisson count, and two); by chance only
- * what is above it is put last, not all of the caller's requests. The table is
- * bounded at 1,024 callers; a caller that finds no place counts as ordinary,
- * so that it loses nothing.
+ * Each request gets a position in its caller's recent demand by a hash of the
+ * chain's id: the n requests of a caller are spread over 0 to n, essential
+ * ones first, deferrable ones last. Positions up to the heavy count are
+ * numbered by class: essential 0 to 127, normal 128 to 255, deferrable 256 to
+ * 319, short operations before long ones. Positions above it are numbered 320
+ * to 383, so that a level in this range cuts all heavy callers to the same
+ * count and no other caller (max-min fairness as in core-stateless fair
+ * queueing, Stoica et al., SIGCOMM 1998). Essential requests always keep their
+ * class.
  */
 import {rankOf, type RequestClass} from '@egretspoke/protocol';
 import {maxLevel, prioritiesPerClass} from './admission-level.js';
 import {hashFraction} from './chain-hash.js';
 
-/** Milliseconds after which a count is down to 1/e. */
+/**
+ * The time constant of the decay of counts, in milliseconds: after it a count
+ * is at 1/e. Five seconds are long enough to include a caller of one request a
+ * second.
+ */
 const memory = 5000;
+/**
+ * The maximum number of tracked callers, 1,024; further callers count as
+ * ordinary and lose nothing.
+ */
 const callerLimit = 1024;
+/** The heavy count is twice the median of the callers. */
 const heavyFactor = 2;
+/**
+ * The heavy count is at least what random variation gives to a caller with the
+ * median: two standard deviations of a Poisson count, plus two. Only the part
+ * of a caller's requests above the heavy count is numbered last.
+ */
 const chanceDeviations = 2;
-/** A caller below this count has been silent for several time constants. */
+/** A caller below this count has sent nothing for several time constants. */
 const minTrackedCount = 0.05;
 
-/** The first number of what is above its caller's share, and how many such numbers there are. */
+/** The first priority number over the share, and the number of such numbers. */
 const firstOverSharePriority = 320;
 const overSharePriorityCount = maxLevel + 1 - firstOverSharePriority;
-/** Doublings of the heavy count that these numbers span: ten numbers for each. */
+/** The doublings of the heavy count that these numbers span: ten numbers for each. */
 const overShareDoublings = 6;
 
-/** Numbers for the classes, by rank; the rest of the last class is for what is over a share. */
+/** Priority numbers by class rank; the rest of the last class is for requests over the share. */
 const classPriorityCounts = [
 	prioritiesPerClass,
 	prioritiesPerClass,
 	prioritiesPerClass - overSharePriorityCount,
 ] as const;
-/** The part of a class's numbers that short operations have. */
+/** The ratio of a class's numbers that short operations have. */
 const shortRatio = 5 / 8;
 
 type Rank = 0 | 1 | 2;
 
-/** What one caller sent lately, by class rank; counts that decay. */
+/** The recent requests of one caller by class rank, as decaying counts. */
 type CallerDemand = {counts: [number, number, number]; total: number};
 
 /** The demand of all callers. */
 export type FairShare = {
 	callers: Map<string, CallerDemand>;
-	/** When the counts were decayed last. */
+	/** When the counts last decayed. */
 	decayedAt: number;
 	/** The count up to which a caller is within its share. */
 	heavyCount: number;
-	/** The largest count by class rank of a caller within its share. */
+	/** The largest count of a caller, up to the heavy count, by class rank. */
 	largest: [number, number, number];
 };
 
@@ -79,16 +84,16 @@
 	};
 }
 
-/** What a priority number is made from. */
+/** The attributes from which a priority number is computed. */
 export type PriorityInput = {
 	requestClass: RequestClass;
 	caller: string;
-	/** The chain's name. */
+	/** The id of the chain. */
 	chain: string;
 	isLong: boolean;
 };
 
-/** Counts the request for its caller. */
+/** Records a request in its caller's demand. */
 export function recordDemand(
 	state: FairShare,
 	{caller, requestClass}: Pick<PriorityInput, 'caller' | 'requestClass'>,
@@ -108,9 +113,9 @@
 }
 
 /**
- * Takes the count of a refused request back, unless its caller is heavy. Each
- * refusal brings tries of the same request; counted, they would make a light
- * caller that was refused once heavy, and so refused again.
+ * Removes a refused request from its caller's demand, unless the caller is
+ * heavy. Clients retry refused requests; counted each time, the retries would
+ * make a light caller heavy after one refusal, and so cause further refusals.
  */
 export function uncountDemand(
 	state: FairShare,
@@ -124,7 +129,7 @@
 	}
 }
 
-/** The request's priority number, from 0 (the last to be refused) to 383. */
+/** The request's priority number, from 0 (refused last) to 383. */
 export function computePriority(
 	state: FairShare,
 	{caller, requestClass, chain, isLong}: PriorityInput,
@@ -146,12 +151,12 @@
 	return priorityInClass(rank, share, isLong);
 }
 
-/** Whether the number says that the request is above its caller's share. */
+/** Whether a request with this priority number is over its caller's share. */
 export function isOverSharePriority(priority: number): boolean {
 	return priority >= firstOverSharePriority;
 }
 
-/** Lets the counts decay, and works out anew which count is heavy. */
+/** Decays the counts and recomputes the heavy count. */
 export function updateShares(state: FairShare, now: number): void {
 	decay(state, now);
 	state.heavyCount = findHeavyCount(state);
@@ -177,7 +182,7 @@
 	);
 }
 
-/** The place in the caller's own order: essential, normal, deferrable. */
+/** The position in the caller's own order: essential, normal, deferrable. */
 function placeOf({counts}: CallerDemand, rank: Rank, fraction: number): number {
 	const before = counts[0] + (rank === 2 ? counts[1] : 0);
 	return before + fraction * counts[rank];
--- a/packages/decisions/src/policy.ts
+++ b/packages/decisions/src/policy.ts
@@ -1,119 +1,126 @@
 /**
- * The two interfaces behind which every decision under load stands. The node
- * and the experiment run the same implementations; the naive policy is another
- * entry of the same lookup table. Nothing here touches a network or reads a
- * clock: every call carries the instant, in monotonic milliseconds.
+ * The interfaces of admission and routing decisions. The node and the
+ * experiment run the same implementations; the naive policy is another entry
+ * of the same lookup table. No code behind them uses a network or reads a
+ * clock: every call receives the current time in monotonic milliseconds.
  */
 import type {ErrorCode, LoadReport, RequestClass} from '@egretspoke/protocol';
 import type {Random} from '@egretspoke/shared';
 import type {DownstreamLevels} from './downstream-levels.js';
 
-/** What a decision may know about a request. */
+/** The request attributes that decisions may use. */
 export type CallFacts = {
-	/** Unique at this node; two attempts of one request have two ids. */
+	/** Unique at this node; each attempt of a request has an id of its own. */
 	id: string;
 	service: string;
 	requestClass: RequestClass;
-	/** Who calls; fair shares are counted by it. */
+	/** The calling client or service; fair shares are computed by caller. */
 	caller: string;
-	/** The kind of work, such as `POST /payments`, by which durations are learnt. */
+	/** The kind of work, such as `POST /payments`, by which durations are recorded. */
 	operation: string;
-	/** When the caller gives up. */
+	/** When the caller stops waiting. */
 	deadline: number;
-	/** Attempts left for the chain, this one included. */
+	/** Remaining attempts for the chain, including this one. */
 	attempts: number;
 	idempotent: boolean;
-	/** The request's name along the whole chain; the id when absent. */
+	/** The id of the request along the whole chain; defaults to `id`. */
 	chain?: string;
 	/**
-	 * The priority number that the chain's first admission gave, from
+	 * The priority number that the chain's first admission assigned, from
 	 * `chainPriority`; absent at the first admission.
 	 */
 	priority?: number;
 };
 
-/** A refusal with its reason; `notRun` by construction. */
+/** A refusal with its reason. The request has not run (`notRun`). */
 export type RefusalDecision = {
 	kind: 'refuse';
 	code: ErrorCode;
-	/** A short sentence with the figures behind the decision, for the log. */
+	/** A short sentence with the numbers behind the decision, for the log. */
 	reason: string;
-	/** Milliseconds after which to come back. */
+	/** Milliseconds after which the caller may retry. */
 	retryAfter: number;
 };
 
-/** What the target's node does with a request that arrives. */
+/** The decision of the target's node on an arriving request. */
 export type AdmissionDecision =
 	| {kind: 'dispatch'; reason: string}
 	| {kind: 'wait'; reason: string}
 	| RefusalDecision;
 
-/** A waiting request whose turn has come, for better or worse. */
+/** The decision on a waiting request: it is dispatched or refused. */
 export type QueueDecision = {id: string} & (
 	{kind: 'dispatch'; reason: string} | RefusalDecision
 );
 
-/** How a dispatched request ended at the target. */
+/** The end of a dispatched request. */
 export type Completion = {
-	/** Milliseconds from hand-over to the end. */
+	/** Milliseconds from the dispatch to the end. */
 	duration: number;
 	result: 'ok' | 'failed' | 'shed' | 'cancelled' | 'timeout';
 };
 
-/** Admission at the target's node: what runs, waits and is refused. */
+/** Admission at the target's node: decides which requests run, wait or are refused. */
 export type AdmissionPolicy = {
 	arrive(call: CallFacts, now: number): AdmissionDecision;
-	/** Takes back a waiting request; false when it isn't waiting. */
+	/** Removes a waiting request; returns false when it isn't waiting. */
 	withdraw(id: string, now: number): boolean;
-	/** A dispatched request ended; the slot is free. */
+	/** Records the end of a dispatched request and frees its slot. */
 	finish(id: string, completion: Completion, now: number): void;
 	/**
-	 * The turns that are due now. To be called after `finish`, and at `wakeAt`.
-	 * A request given up on gets its refusal here at once.
+	 * Dispatches and refuses waiting requests. Call it after `finish` and at
+	 * `wakeAt`. Requests that exceed their maximum wait are refused in the same
+	 * call.
 	 */
 	processQueue(now: number): QueueDecision[];
-	/** The next instant at which `turns` may have something; undefined if none. */
+	/** The next time at which `processQueue` may have a decision; undefined if there is none. */
 	wakeAt(): number | undefined;
-	/** Hands back everything that waits, for a planned stop. */
+	/** Refuses all waiting requests before a planned stop. */
 	drain(now: number): QueueDecision[];
-	/** The load, with the level that holds for the operation, the layers below included. */
+	/**
+	 * The load report. Its level is the one for the operation, including the
+	 * levels of downstream services.
+	 */
 	report(now: number, operation?: string): LoadReport;
 };
 
-/** A target as the router knows it. */
+/** A target as the entry node has it from membership. */
 export type RoutingCandidate = {
 	node: string;
 	dataCentre: string;
 	slots: number;
 	connections: number;
-	/** When this node first saw it active, for slow start. */
+	/** When this node first saw the target active, for slow start. */
 	since: number;
-	/** Membership's trust: `suspect` is a last resort; `leaving` takes nothing. */
+	/** The membership state: a `suspect` target is a last resort; a `leaving` one gets no work. */
 	state: 'active' | 'suspect' | 'leaving';
 };
 
 export type RoutingDecision =
 	{kind: 'send'; node: string; reason: string} | RefusalDecision;
 
-/** How one attempt ended, as the entry node saw it. */
+/** The end of one attempt, as recorded by the entry node. */
 export type AttemptResult = {
 	node: string;
-	/** Milliseconds from the choice to the end. */
+	/** Milliseconds from the choice of the target to the end. */
 	duration: number;
 	result: 'ok' | 'notRun' | 'unknown' | 'cancelled' | 'unreachable';
 	code?: ErrorCode;
-	/** When a refusing node said to come back, in milliseconds. */
+	/** The retry-after time of the refusing node, in milliseconds. */
 	retryAfter?: number;
-	/** The load report that came with the answer, made for the call's operation. */
+	/** The load report received with the answer, for the call's operation. */
 	load?: LoadReport;
 };
 
-/** Whether another attempt is made, and if not, what the caller is told. */
+/** Whether another attempt is made; if not, the refusal for the caller. */
 export type RetryDecision =
 	| {kind: 'retry'; delay: number; exclude: string[]; reason: string}
 	| RefusalDecision;
 
-/** Routing at the entry node: where work goes, what is refused at once, what is tried again. */
+/**
+ * Routing at the entry node: chooses targets, refuses doomed requests early
+ * and decides on retries.
+ */
 export type RoutingPolicy = {
 	/** Replaces the candidates of a service. */
 	candidatesChanged(
@@ -122,36 +129,39 @@
 		now: number,
 	): void;
 	choose(call: CallFacts, exclude: string[], now: number): RoutingDecision;
-	/** An attempt that `choose` sent has started. */
+	/** Records the start of an attempt that `choose` sent. */
 	started(call: CallFacts, node: string, now: number): void;
-	/** It has ended. */
+	/** Records the end of an attempt. */
 	finished(call: CallFacts, result: AttemptResult, now: number): void;
-	/** A load report came with an answer or a probe; it may be late or wrong. */
+	/** Records a load report from an answer or a probe; it may be late or wrong. */
 	observe(service: string, node: string, report: LoadReport, now: number): void;
-	/** Asked after a `notRun` or `unreachable` attempt; never after `unknown` for a non-idempotent call. */
+	/**
+	 * Called after a `notRun` or `unreachable` attempt; never after `unknown`
+	 * for a non-idempotent call.
+	 */
 	retry(call: CallFacts, result: AttemptResult, now: number): RetryDecision;
-	/** How many attempts the chain below may use, out of `call.attempts`. */
+	/** How many of `call.attempts` the downstream chain may use. */
 	downstreamAttempts(call: CallFacts): number;
 };
 
-/** What a policy is built from. */
+/** The dependencies and switches of a policy. */
 export type PolicyContext = {
-	/** The deciding node's own data centre. */
+	/** The data centre of the deciding node. */
 	dataCentre: string;
 	random: Random;
-	/** Mechanisms switched off, by name, for tests and the experiment's table. */
+	/** Mechanisms to switch off, by name, for tests and the experiment's table. */
 	without?: ReadonlySet<Mechanism>;
-	/** What the layers below let in; one table for the admission and the routing of a node. */
+	/** The levels of downstream services; the admission and the routing of a node share one table. */
 	downstreamLevels?: DownstreamLevels;
 };
 
-/** What an admission policy is built from besides. */
+/** The additional dependencies of an admission policy. */
 export type AdmissionContext = PolicyContext & {
 	service: string;
 	slots: number;
 };
 
-/** The mechanisms that can be switched off one by one. */
+/** The mechanisms that can be switched off individually. */
 export const mechanisms = [
 	'concurrency-limit',
 	'queue-time',
@@ -173,7 +183,7 @@
 /** The name of a mechanism. */
 export type Mechanism = (typeof mechanisms)[number];
 
-/** One entry of the lookup table of policies. */
+/** An entry of the lookup table of policies. */
 export type Policy = {
 	name: string;
 	createAdmission(context: AdmissionContext): AdmissionPolicy;
--- a/packages/decisions/src/retry-decision.ts
+++ b/packages/decisions/src/retry-decision.ts
@@ -1,26 +1,26 @@
 /**
- * Whether a refused attempt is made again elsewhere.
+ * Whether a refused attempt is retried at another target.
  *
- * Load pattern: refusals come from one target (it is leaving, gone, or alone
- * overloaded) or from all of them. In the first case another target serves the
- * request at once and the caller needn't know; in the second each retry is
- * load on top of overload, at every layer, and one notices that refusals
- * produce more refusals. The reaction to each code stands in a table:
+ * Load pattern: refusals come from one target (it is leaving, gone, or the
+ * only overloaded one) or from all of them. In the first case another target
+ * can serve the request at once; in the second each retry adds load at every
+ * layer, and refusals cause more refusals. The reaction depends on the code:
  *
- * - `elsewhere`: the target is out of service; another one is not.
- * - `ifGroupAllows`: the target refused for load; another one may have room,
- *   if the group doesn't refuse as a whole and the levels seen let all in.
- *   Since a node turns such a refusal into one of its own, with its own code
- *   and come-back time, only the layer right above it ever repeats it.
- * - `never`: the request itself is the reason; it would end the same anywhere.
+ * - `elsewhere`: only this target is out of service.
+ * - `ifGroupAllows`: the target refused because of load; another one may have
+ *   room if the group doesn't refuse as a whole and the recorded level admits
+ *   all requests. A node replaces such a refusal by its own, with its own code
+ *   and retry-after time, so only the layer directly above retries it.
+ * - `never`: the request itself is the cause; it would end the same at any
+ *   target.
  *
- * An outcome that isn't known is never tried again here: the attempt may have
- * run, and has used what it was given for the chain below.
+ * An unknown outcome is never retried here: the attempt may have run and has
+ * used its downstream attempts.
  */
 import {ErrorCode} from '@egretspoke/protocol';
 import type {AttemptResult} from './policy.js';
 
-/** How a code is reacted to. */
+/** The reaction to a code. */
 export type RetryReaction = 'elsewhere' | 'ifGroupAllows' | 'never';
 
 const reactions: Partial<Record<ErrorCode, RetryReaction>> = {
@@ -45,7 +45,7 @@
 		: 'never';
 }
 
-/** Whether the end of an attempt says that the target refused for load. */
+/** Whether the target refused the attempt because of load. */
 export function isLoadRefusal({result, code}: AttemptResult): boolean {
 	return (
 		result === 'notRun' &&
--- a/packages/decisions/src/routing.ts
+++ b/packages/decisions/src/routing.ts
@@ -1,6 +1,7 @@
 /**
- * Routing at the entry node: puts the modules together. What was seen of each
- * target is learnt at the end of an attempt; a choice only reads it.
+ * Routing at the entry node. Statistics of targets are updated at the end of
+ * an attempt; choosing a target only reads them. This module only combines the
+ * others.
  */
 import {ErrorCode} from '@egretspoke/protocol';
 import {fixedRetryAfterTime} from './admission-options.js';
@@ -42,11 +43,11 @@
 	observedLevel,
 } from './upstream-refusal.js';
 
-/** Attempts at every layer while the chain's attempts are switched off. */
+/** Attempts at every layer while `chain-attempts` is switched off. */
 const defaultAttempts = 3;
-/** Ends that say something of the target's speed. */
+/** Results whose duration counts for the target's speed. */
 const isAnswer: Partial<Record<AttemptResult['result'], boolean>> = {ok: true};
-/** Ends that say that the target itself failed. */
+/** Results that count as a failure of the target itself. */
 const isFault: Partial<Record<AttemptResult['result'], boolean>> = {
 	unknown: true,
 	unreachable: true,
@@ -83,7 +84,8 @@
 			return {kind: 'refuse', code, reason, retryAfter};
 		}
 
-		// One service time of the whole group, spread over as much again for each tenth that is refused.
+		// One service time of the whole group, plus a random part that grows by
+		// one service time for each tenth of attempts refused.
 		const serviceTime = group.averageDuration;
 		const retryAfter = retryAfterTime(
 			{
@@ -233,7 +235,7 @@
 			hasChainAttempts ? attemptsBelow(call) : defaultAttempts,
 	};
 
-	/** Why there is no further attempt, if so. */
+	/** The reason why no further attempt is made; undefined when one may be made. */
 	function retryObstacle(
 		group: RoutingGroup,
 		call: CallFacts,
--- a/packages/decisions/src/target-choice.ts
+++ b/packages/decisions/src/target-choice.ts
@@ -1,4 +1,4 @@
-/** The choice of a target: the modules of routing, in their order. */
+/** Chooses a target: applies the routing modules in their order. */
 import type {Random} from '@egretspoke/shared';
 import {hasConnection} from './connection-limit.js';
 import {isDueForProbe, isEjected, isPanic} from './ejection.js';
@@ -16,7 +16,7 @@
 	type Suitability,
 } from './two-choices.js';
 
-/** The choice's behaviour, by what is switched on. */
+/** The mechanisms of the choice that are switched on. */
 export type ChoiceOptions = {
 	hasTwoChoices: boolean;
 	hasLocality: boolean;
@@ -24,19 +24,19 @@
 	hasEjection: boolean;
 };
 
-/** What is to be chosen for. */
+/** The request that needs a target. */
 export type ChoiceRequest = {
 	call: CallFacts;
-	/** Nodes that have refused the request. */
+	/** Nodes that have already refused the request. */
 	exclude: string[];
 	random: Random;
 	now: number;
 };
 
-/** A chosen target and why. */
+/** A chosen target and the reason. */
 export type TargetChoice = {view: TargetView; reason: string};
 
-/** Reads the context's switches once. */
+/** Reads the switched-off mechanisms once. */
 export function createChoiceOptions(
 	without: ReadonlySet<Mechanism> | undefined,
 ): ChoiceOptions {
@@ -49,7 +49,7 @@
 	};
 }
 
-/** Chooses; undefined when no target may be chosen. */
+/** Chooses a target; returns undefined when none is available. */
 export function chooseTarget(
 	group: RoutingGroup,
 	options: ChoiceOptions,
@@ -72,7 +72,8 @@
 			: drawTwo(group.views, mayDraw, random);
 	let [first, second] = draw(mayChoose);
 	if (!first) {
-		// A group that has just been started, or stands out as a whole, still serves.
+		// A group that has just started, or is ejected as a whole, still serves
+		// requests.
 		[first, second] = draw(isAvailable);
 	}
 
@@ -118,7 +119,7 @@
 	return `${tier}/${Math.round(cost * 100)}`;
 }
 
-/** Two local targets while one has room, else a local and a remote one. */
+/** Draws two local targets while one of them has room, otherwise two of all targets. */
 function drawLocalFirst(
 	group: RoutingGroup,
 	mayChoose: (view: TargetView) => boolean,
@@ -130,7 +131,8 @@
 		return drawn;
 	}
 
-	// Without room here, all targets are drawn alike, so that no remote one gets more than its share.
+	// Without local room all targets are drawn alike, so that no remote one gets
+	// more than its share.
 	return drawTwo(group.views, mayChoose, random);
 }
 
