--- a/packages/decisions/src/bounded-table.ts
+++ b/packages/decisions/src/bounded-table.ts
@@ -1,6 +1,6 @@
-/** Tables whose keys come from outside and which must not grow without end. */
+/** Size limits for tables whose keys come from outside. */
 
-/** Finds the entry, or adds one in place of the oldest when the table is full. */
+/** Finds the entry, or creates it; a full table drops its oldest entry first. */
 export function findOrAdd<Key, Value>(
 	table: Map<Key, Value>,
 	key: Key,
--- a/packages/decisions/src/deadline-feasibility.ts
+++ b/packages/decisions/src/deadline-feasibility.ts
@@ -1,19 +1,18 @@
 /**
- * Only work that can end before its deadline is let in.
+ * Admits only requests that can end before their deadline.
  *
- * Load pattern: a target turns slow, or its queue long, while callers wait no
- * longer than before. Without this check slots are spent on requests whose
- * callers have gone by the time the answer comes; one notices a busy target
- * and hardly a whole answer. The check compares what is left until the
- * deadline with the operation's learnt duration; a request waits no longer
- * than leaves that time.
+ * Load pattern: a target becomes slow, or its queue long, while callers wait
+ * no longer than before. Without this check the slots run requests whose
+ * callers give up before the answer. The check compares the time until the
+ * deadline with the operation's recorded duration; the same time limits the
+ * wait in the queue.
  *
- * What could go wrong with it: when one slow spell has taught a duration that
- * no deadline allows, nothing runs and nothing is learnt any more. So a
- * request of an operation of which nothing runs now is always feasible.
+ * After a slow period the recorded duration may exceed every deadline; then no
+ * request would run and the duration would never be updated. A request is
+ * therefore always feasible while no other request of its operation runs.
  */
 
-/** The latest instant at which the request can start and still end in time. */
+/** The latest time at which the request can start and still end before its deadline. */
 export function latestStart(
 	deadline: number,
 	duration: number,
@@ -22,7 +21,7 @@
 	return running === 0 ? deadline : deadline - duration;
 }
 
-/** Whether a request that can't start before this instant is doomed. */
+/** Whether a request that can't start before `earliestStart` would miss its deadline. */
 export function isInfeasible(latest: number, earliestStart: number): boolean {
 	return latest <= earliestStart;
 }
--- a/packages/decisions/src/downstream-levels.ts
+++ b/packages/decisions/src/downstream-levels.ts
@@ -1,16 +1,17 @@
 /**
- * What the layers below let in, by the operation that needs them.
+ * The admission levels of downstream services, by the operation that calls
+ * them.
  *
- * Load pattern: a deep service is saturated. Without this the layers above run
- * their part of every request, call deeper, and are refused there; all that
- * work is waste, and one notices busy layers above and few whole requests.
- * Answers bring the level of the node that gave them; the node ties it to the
- * operation that its own target was running for that chain, and its admission
- * refuses the operation by it before anything runs (DAGOR's collaborative
- * admission, and TopFull, SIGCOMM 2024, which sheds by operation at the entry).
- * The same table carries the priority number down the chain.
+ * Load pattern: a deep service is saturated. Without these levels the upper
+ * layers run their part of every request, call downstream and are refused
+ * there, so their work is wasted. Answers carry the level of the node that
+ * gave them. The node assigns it to the operation that its own target was
+ * running for that chain, and its admission refuses requests of the operation
+ * by this level before they run (DAGOR's collaborative admission, and TopFull,
+ * SIGCOMM 2024, which sheds by operation at the entry). The table also passes
+ * the priority number down the chain.
  *
- * Wrong and stale levels are dealt with in `level-samples.ts`.
+ * Wrong and outdated levels are handled in `level-samples.ts`.
  */
 import {maxLevel} from './admission-level.js';
 import {findOrAdd} from './bounded-table.js';
@@ -21,7 +22,7 @@
 	type LevelSamples,
 } from './level-samples.js';
 
-/** Services that one operation calls; further ones replace the oldest. */
+/** The maximum number of services called by one operation; further ones replace the oldest. */
 const serviceLimit = 16;
 const operationLimit = 256;
 
@@ -38,7 +39,7 @@
 	return {chains: new Map(), byOperation: new Map()};
 }
 
-/** A request of the chain starts at the node's own target. */
+/** Records that a request of the chain starts at the node's own target. */
 export function beginChain(
 	state: DownstreamLevels,
 	chain: string,
@@ -53,7 +54,7 @@
 	}
 }
 
-/** It has ended. */
+/** Records that the request has ended. */
 export function endChain(state: DownstreamLevels, chain: string): void {
 	const known = state.chains.get(chain);
 	if (known && --known.count === 0) {
@@ -61,7 +62,7 @@
 	}
 }
 
-/** The priority number of a chain that runs here. */
+/** The priority number of a chain that is running here. */
 export function chainPriority(
 	state: DownstreamLevels,
 	chain: string,
@@ -69,7 +70,7 @@
 	return state.chains.get(chain)?.priority;
 }
 
-/** Learns the level of a service that the chain's request called. */
+/** Records the level of a service that the chain's request called. */
 export function recordDownstreamLevel(
 	state: DownstreamLevels,
 	chain: string,
@@ -92,7 +93,7 @@
 	addLevel(known, observed.level, observed.now);
 }
 
-/** The level that the layers below allow to an operation. */
+/** The level up to which downstream services admit requests of the operation. */
 export function downstreamLevel(
 	state: DownstreamLevels,
 	operation: string,
--- a/packages/decisions/src/egretspoke-policy.ts
+++ b/packages/decisions/src/egretspoke-policy.ts
@@ -1,9 +1,9 @@
-/** The policy that the node runs, as one entry of the table of policies. */
+/** The policy that the node runs, as an entry of the table of policies. */
 import {createAdmission} from './admission.js';
 import type {Mechanism, Policy} from './policy.js';
 import {createRouting} from './routing.js';
 
-/** Creates the policy, with mechanisms switched off besides those of the context. */
+/** Creates the policy; `without` is added to the mechanisms that the context switches off. */
 export function createEgretspokePolicy(
 	without: ReadonlySet<Mechanism> = new Set(),
 ): Policy {
@@ -26,5 +26,5 @@
 	return second === undefined ? first : new Set([...first, ...second]);
 }
 
-/** The policy with every mechanism on. */
+/** The policy with all mechanisms switched on. */
 export const egretspokePolicy = createEgretspokePolicy();
--- a/packages/decisions/src/fair-share.ts
+++ b/packages/decisions/src/fair-share.ts
@@ -15,7 +15,7 @@
  * to 383, so that a level in this range cuts all heavy callers to the same
  * count and no other caller (max-min fairness as in core-stateless fair
  * queueing, Stoica et al., SIGCOMM 1998). Essential requests always keep their
- * class.
+ * class, so they yield to essential ones only.
  */
 import {rankOf, type RequestClass} from '@egretspoke/protocol';
 import {maxLevel, prioritiesPerClass} from './admission-level.js';
--- a/packages/decisions/src/group-load.ts
+++ b/packages/decisions/src/group-load.ts
@@ -1,11 +1,11 @@
 /**
- * Whether the targets of a service are overloaded together.
+ * Detects that the targets of a service are overloaded as a group.
  *
- * A refusal of one target is worth a try at another only if the others aren't
- * refusing as well. The share of attempts refused for load is averaged over
- * 64 ends, a few round trips of a busy node; above a tenth the group counts as
- * overloaded, since then even a budget of a tenth of the successes would be
- * spent on refusals alone.
+ * A refused attempt is worth a retry at another target only if the other
+ * targets don't refuse as well. The ratio of attempts refused because of load
+ * is averaged over 64 attempts, a few round trips of a busy node. Above a
+ * tenth the group counts as overloaded, because then even a retry budget of a
+ * tenth of the successes would be spent on refusals alone.
  */
 
 const span = 64;
@@ -14,17 +14,17 @@
 /** The moving average of attempts refused for load. */
 export type GroupLoad = {refusedShare: number};
 
-/** Creates the state of a group that has refused nothing. */
+/** Creates the state of a group without refusals. */
 export function createGroupLoad(): GroupLoad {
 	return {refusedShare: 0};
 }
 
-/** Learns from the end of an attempt. */
+/** Records the end of an attempt. */
 export function recordAttempt(state: GroupLoad, isRefused: boolean): void {
 	state.refusedShare += ((isRefused ? 1 : 0) - state.refusedShare) / span;
 }
 
-/** Whether the group as a whole refuses. */
+/** Whether the group as a whole is overloaded. */
 export function isGroupOverloaded({refusedShare}: GroupLoad): boolean {
 	return refusedShare > overloadedShare;
 }
--- a/packages/decisions/src/lazy-heap.ts
+++ b/packages/decisions/src/lazy-heap.ts
@@ -1,6 +1,6 @@
-/** A binary heap whose items may leave otherwise: those that are gone stay until they surface. */
+/** A binary heap with lazy deletion: removed items stay in the heap until they reach the top. */
 
-/** An item that may have left otherwise. */
+/** An item that can be marked as removed. */
 export type Removable = {isRemoved: boolean};
 
 /** A heap and the order of its items. */
@@ -16,7 +16,10 @@
 	return {items: [], isBefore};
 }
 
-/** Adds an item; `live` is how many of all items aren't gone, by which the heap is swept. */
+/**
+ * Adds an item. `live` is the number of items that aren't removed; when the
+ * heap is much larger, the removed ones are dropped.
+ */
 export function pushItem<Item extends Removable>(
 	heap: LazyHeap<Item>,
 	item: Item,
@@ -29,7 +32,7 @@
 	siftUp(heap, item);
 }
 
-/** The first item that isn't gone. */
+/** The first item that isn't removed. */
 export function peekItem<Item extends Removable>(
 	heap: LazyHeap<Item>,
 ): Item | undefined {
--- a/packages/decisions/src/level-samples.ts
+++ b/packages/decisions/src/level-samples.ts
@@ -1,16 +1,18 @@
 /**
- * The levels seen lately from one source. One wrong or late report must not
- * shut anything, so the median of the last five counts; and a level that
- * nobody has confirmed for a second relaxes over the next, so that the source
- * is asked again and a stale level can't refuse for ever.
+ * The recent levels from one source. The median of the last five is used, so
+ * that one wrong or late report has no effect. A level that isn't confirmed
+ * for a second rises to the maximum over the next one; requests then reach the
+ * source again, and an outdated level can't refuse them forever.
  */
 import {maxLevel} from './admission-level.js';
 
 const sampleCount = 5;
+/** Milliseconds for which the median holds without a new sample. */
 const freshDuration = 1000;
+/** Milliseconds without a new sample after which all requests are admitted. */
 const relaxedAfter = 2000;
 
-/** The last levels and their median. */
+/** The recent levels and their median. */
 export type LevelSamples = {
 	levels: number[];
 	next: number;
@@ -18,7 +20,7 @@
 	median: number;
 };
 
-/** Creates the samples of one source, open. */
+/** Creates the samples of a source that admits all requests. */
 export function createLevelSamples(): LevelSamples {
 	return {
 		levels: [],
@@ -28,7 +30,7 @@
 	};
 }
 
-/** Adds a level that was seen. */
+/** Records a level. */
 export function addLevel(
 	samples: LevelSamples,
 	level: number,
@@ -41,7 +43,7 @@
 	samples.median = sorted[Math.floor(sorted.length / 2)] ?? maxLevel;
 }
 
-/** The median level, relaxed when it is old. */
+/** The median level, raised with the age of the last sample. */
 export function currentLevel(samples: LevelSamples, now: number): number {
 	const age = now - samples.at;
 	if (age <= freshDuration) {
--- a/packages/decisions/src/long-operation-limit.ts
+++ b/packages/decisions/src/long-operation-limit.ts
@@ -1,32 +1,34 @@
 /**
- * Long operations among short ones.
+ * Limits the slots of long operations, so that short ones still get slots.
  *
- * Load pattern: a few operations take many times as long as the others.
- * Without a rule they gather in the slots, because each that gets one keeps it
- * while many short ones come and go, until all slots hold long work; one
- * notices short requests that time out at a target which completes little.
+ * Load pattern: a few operations take many times as long as the others. Each
+ * long request keeps its slot while many short ones come and go, until long
+ * requests hold all slots; short requests time out while the target completes
+ * little.
  *
- * Long work of a class may hold the slots that short work of its own and the
- * higher classes doesn't need. The need is the short work's average number in
- * the slots by Little's law, measured as it runs, plus what of it waits now,
- * plus the square root of that: with no more than the average, arrivals that
- * vary by chance find all slots taken half of the time (square-root staffing,
- * Halfin & Whitt 1981).
- * What the rule leaves to long work is never less than an eighth of the slots,
- * so that it gets on as well. Essential long work yields to essential short
- * work only.
- *
- * Threshold: an operation is long at four times the typical duration; when
- * durations vary by chance (exponentially), only one request in fifty lasts as
- * long, so ordinary variation makes no operation long.
+ * Long requests of a class may use the slots that short requests of the same
+ * and higher classes don't need. That need is the average number of running
+ * short requests (Little's law), plus those that wait, plus the square root of
+ * the sum: with the average alone, random arrivals would find all slots taken
+ * half of the time (square-root staffing, Halfin & Whitt 1981). Essential long
+ * requests yield to essential short ones only.
  */
 
+/**
+ * An operation is long at four times the typical duration. With exponentially
+ * distributed durations only one request in fifty takes that long, so ordinary
+ * variation makes no operation long.
+ */
 export const longFactor = 4;
+/** An eighth of the slots always remains for long requests, so that they progress as well. */
 const minLongShare = 1 / 8;
-/** Milliseconds after which the average follows a change by 1 - 1/e. */
+/**
+ * The time constant of the moving average, in milliseconds: after it the
+ * average has followed a change by 1 - 1/e.
+ */
 const memory = 1000;
 
-/** What runs, by class rank. */
+/** The running requests by class rank. */
 export type SlotUsage = {
 	longRunning: [number, number, number];
 	shortRunning: [number, number, number];
@@ -45,12 +47,12 @@
 	};
 }
 
-/** Whether an operation of this duration is long beside the typical one. */
+/** Whether an operation of this duration is long compared with the typical one. */
 export function isLongDuration(duration: number, typical: number): boolean {
 	return typical > 0 && duration > longFactor * typical;
 }
 
-/** Counts a request as running (1) or ended (-1). */
+/** Records a request as running (1) or ended (-1). */
 export function countSlot(
 	state: SlotUsage,
 	rank: number,
@@ -61,7 +63,7 @@
 	counts[rank as 0 | 1 | 2] += change;
 }
 
-/** Brings the averages to this instant; to be called before the counts change. */
+/** Updates the averages to the current time. Must be called before the counts change. */
 export function averageSlots(state: SlotUsage, now: number): void {
 	const elapsed = now - state.averagedAt;
 	if (elapsed <= 0) {
@@ -76,7 +78,7 @@
 	}
 }
 
-/** Whether one more long request of the class may take a slot. */
+/** Whether one more long request of the class may get a slot. */
 export function mayRunLong(
 	state: SlotUsage,
 	rank: number,
--- a/packages/decisions/src/operation-durations.ts
+++ b/packages/decisions/src/operation-durations.ts
@@ -1,16 +1,16 @@
 /**
- * Durations by operation, learnt from how requests ended.
+ * Average durations by operation, from requests that ended.
  *
- * The moving averages forget after `latelySpan` and `usualSpan` ends: the
- * first is short enough to follow a slowdown within one round of the slots,
- * the second long enough to tell what is usual. The table is bounded, since an
- * operation's name comes from outside.
+ * The moving averages span `recentSpan` and `longTermSpan` requests: the first
+ * follows a slowdown within one round of the slots, the second provides the
+ * long-term duration for comparison. The table is bounded because operation
+ * names come from outside.
  */
 import {updateAverage} from './rate-of-change.js';
 
 const recentSpan = 16;
 const longTermSpan = 512;
-/** Operations remembered; a service has tens, not hundreds. */
+/** Maximum number of operations in the table; a service has tens, not hundreds. */
 const operationLimit = 256;
 
 type OperationDuration = {
@@ -20,22 +20,28 @@
 	running: number;
 };
 
-/** What is known of durations, in milliseconds. */
+/** The recorded durations, in milliseconds. */
 export type OperationDurations = {
 	byOperation: Map<string, OperationDuration>;
-	/** The average over all operations, as they came. */
+	/** The average over all requests, whatever their operation. */
 	average: number;
-	/** The average of the logarithm: the typical duration, which a few long ones don't move. */
+	/**
+	 * The average of the logarithm, for the typical duration; a few long
+	 * requests hardly change it.
+	 */
 	typicalLog: number;
 	count: number;
 };
 
-/** Creates the state in which nothing is known. */
+/** Creates a table without durations. */
 export function createOperationDurations(): OperationDurations {
 	return {byOperation: new Map(), average: 0, typicalLog: 0, count: 0};
 }
 
-/** Learns a duration. One that was cut short says only that it is no shorter. */
+/**
+ * Records a duration. An incomplete one, of a request that was cut short, is
+ * only a lower bound.
+ */
 export function recordDuration(
 	state: OperationDurations,
 	operation: string,
@@ -67,7 +73,10 @@
 	);
 }
 
-/** The expected duration; that of all operations when this one is new; 0 when nothing is known. */
+/**
+ * The expected duration; the average of all operations when this one is new; 0
+ * when no duration is recorded.
+ */
 export function expectedDuration(
 	state: OperationDurations,
 	operation: string,
@@ -76,8 +85,8 @@
 }
 
 /**
- * What the duration would have been for the operation that was learnt first,
- * so that a different mix of operations doesn't look like a slower target.
+ * Scales a duration to the operation that was recorded first, so that a
+ * different mix of operations doesn't look like a slower target.
  */
 export function scaleToReference(
 	state: OperationDurations,
@@ -96,7 +105,7 @@
 	return state.count === 0 ? 0 : Math.exp(state.typicalLog);
 }
 
-/** Counts a request of the operation as running or ended. */
+/** Records a request of the operation as running (1) or ended (-1). */
 export function countRunning(
 	state: OperationDurations,
 	operation: string,
@@ -106,7 +115,7 @@
 	entry.running = Math.max(0, entry.running + change);
 }
 
-/** How many requests of the operation run now. */
+/** The number of running requests of the operation. */
 export function runningCountOf(
 	state: OperationDurations,
 	operation: string,
@@ -140,7 +149,7 @@
 	return added;
 }
 
-/** Forgets the operation that was learnt first and isn't running. */
+/** Removes the oldest operation that isn't running. */
 function evictIdle({byOperation}: OperationDurations): void {
 	for (const [operation, {running}] of byOperation) {
 		if (running === 0) {
--- a/packages/decisions/src/rate-of-change.ts
+++ b/packages/decisions/src/rate-of-change.ts
@@ -1,15 +1,15 @@
 /**
- * How fast a control value may move.
+ * Limits how fast a control value changes.
  *
- * Load pattern: reports are late, so what is seen now answers what was decided
- * a round trip ago. Without a bound the control acts again and again on the
- * same old news, overshoots, and all load swings from one side to the other;
- * one notices goodput that oscillates with the period of the reports. A step
- * is therefore bounded by a share of the value for each control window, and a
- * window is never shorter than the time after which a step shows.
+ * Load pattern: reports are late, so they show the effect of decisions made a
+ * round trip ago. Without a bound the control reacts several times to the same
+ * outdated report and overshoots, and goodput oscillates with the period of
+ * the reports. Each step is therefore bounded by a ratio of the value per
+ * control window, and a window is never shorter than the time after which a
+ * step takes effect.
  */
 
-/** The most that a value may change in one control window, as factors. */
+/** The maximum change of a value in one control window, as factors. */
 export type ChangeBounds = {
 	/** Below 1: the new value is at least the old one times this. */
 	down: number;
@@ -18,12 +18,12 @@
 };
 
 /**
- * Halving and growing by half: after an overshoot by a factor of four, two
- * windows bring the value back, and three undo a step too many.
+ * Halving, and growing by half: after an overshoot by a factor of four two
+ * windows restore the value, and three undo one step too many.
  */
 export const defaultBounds: ChangeBounds = {down: 0.5, up: 1.5};
 
-/** Moves from the old value towards the wanted one, within the bounds. */
+/** Moves a value towards the wanted one, within the bounds. */
 export function limitChange(
 	previous: number,
 	wanted: number,
@@ -35,7 +35,7 @@
 	);
 }
 
-/** An average of the values so far that turns into a moving one after `span` values. */
+/** Updates a cumulative average, which becomes a moving average after `span` values. */
 export function updateAverage(
 	average: number,
 	value: number,
--- a/packages/decisions/src/request-priority.ts
+++ b/packages/decisions/src/request-priority.ts
@@ -1,4 +1,4 @@
-/** What the admission makes of an arriving request: its class, whether it is long, its priority. */
+/** Classifies an arriving request: its class, whether it is long, and its priority number. */
 import {rankOf} from '@egretspoke/protocol';
 import {maxEssentialPriority} from './admission-level.js';
 import type {AdmissionOptions} from './admission-options.js';
@@ -12,18 +12,18 @@
 import type {CallFacts} from './policy.js';
 import type {SlotEntry} from './slot-table.js';
 
-/** The slot time assumed while nothing has been learnt, in milliseconds. */
+/** The assumed slot time while no duration is recorded, in milliseconds. */
 export const defaultDuration = 10;
 
-/** A request with what the decisions are made by. */
+/** A request with the attributes used by the decisions. */
 export type PrioritizedRequest = SlotEntry & {
 	/** The expected duration in milliseconds; 0 while nothing is known. */
 	expected: number;
-	/** The slot time that it will take. */
+	/** The expected slot time, in milliseconds. */
 	slotTime: number;
 };
 
-/** Numbers a request; the number that the chain carries goes before one of our own. */
+/** Assigns the priority number; a number that the chain already carries takes precedence. */
 export function prioritizeRequest(
 	call: CallFacts,
 	options: AdmissionOptions,
--- a/packages/decisions/src/retry-after-time.ts
+++ b/packages/decisions/src/retry-after-time.ts
@@ -1,15 +1,15 @@
 /**
- * When a refused caller should come back.
+ * Computes when a refused caller may retry.
  *
  * Load pattern: many callers are refused at once. With one fixed time they all
- * come back together, as large a burst as the first; one notices a sawtooth of
- * overload with the period of that time. The time here is where the work that
- * is ahead ends, plus a random part of the span in which the target can serve
- * what it refused in the last window, so that the refused spread themselves
+ * retry together, as a burst as large as the first, so that overload recurs
+ * with the period of that time. The time here is when the waiting work ends,
+ * plus a random part of the span in which the target can serve the requests
+ * refused in the last window. The retries are thereby spread
  * over exactly the capacity they need.
  *
  * Bounds: at least one service time, since nothing changes sooner, and at most
- * half a minute, after which the state is worth asking about anyway.
+ * half a minute, after which the state is worth another request in any case.
  */
 import type {Random} from '@egretspoke/shared';
 
@@ -22,13 +22,13 @@
 	waiting: number;
 	/** Requests refused in the last window and so far in this one. */
 	refused: number;
-	/** Requests that end per millisecond when all slots are taken. */
+	/** Requests that end per millisecond while all slots are taken. */
 	drainRate: number;
 	/** The average service time, in milliseconds. */
 	serviceTime: number;
 };
 
-/** Milliseconds after which to come back. */
+/** The retry-after time in milliseconds. */
 export function retryAfterTime(
 	{waiting, refused, drainRate, serviceTime}: BacklogState,
 	random: Random,
--- a/packages/decisions/src/routing-group.ts
+++ b/packages/decisions/src/routing-group.ts
@@ -1,4 +1,4 @@
-/** The targets of one service with what this node has seen of them. */
+/** The targets of one service and the statistics of this node about them. */
 import type {EjectionGroup} from './ejection.js';
 import {createGroupLoad, type GroupLoad} from './group-load.js';
 import type {RoutingCandidate} from './policy.js';
@@ -10,11 +10,11 @@
 /** The state of one service at an entry node. */
 export type RoutingGroup = EjectionGroup & {
 	byNode: Map<string, TargetView>;
-	/** Those that take work, the ones of the own data centre, and the rest. */
+	/** The active targets, those of the local data centre, and the others. */
 	views: TargetView[];
 	local: TargetView[];
 	remote: TargetView[];
-	/** Those that membership suspects: the last resort. */
+	/** The targets that membership suspects: the last resort. */
 	suspect: TargetView[];
 	durations: TypicalDurations;
 	load: GroupLoad;
@@ -41,7 +41,7 @@
 	};
 }
 
-/** Replaces the targets; what was seen of those that stay is kept. */
+/** Replaces the targets; the statistics of those that stay are retained. */
 export function replaceCandidates(
 	group: RoutingGroup,
 	candidates: RoutingCandidate[],
--- a/packages/decisions/src/slot-table.ts
+++ b/packages/decisions/src/slot-table.ts
@@ -1,6 +1,6 @@
 /**
- * The slots of one target: what runs in them, how many may, and what is learnt
- * from each end.
+ * The slots of one target: the running requests, their limit, and the
+ * statistics updated when a request ends.
  */
 import {
 	createConcurrencyLimit,
@@ -25,10 +25,10 @@
 } from './operation-durations.js';
 import type {AdmissionContext, CallFacts, Completion} from './policy.js';
 
-/** What the slots need to know of a request. */
+/** The request attributes that the slots use. */
 export type SlotEntry = {
 	call: CallFacts;
-	/** Its class. */
+	/** The rank of its class. */
 	rank: number;
 	isLong: boolean;
 	priority: number;
@@ -37,23 +37,26 @@
 /** The slots of one target. */
 export type SlotTable = {
 	durations: OperationDurations;
-	/** Slots in force. */
+	/** The number of slots in use by the concurrency limit. */
 	limit(): number;
 	running(): number;
 	isFree(): boolean;
-	/** Whether one more long request of the class may have a slot. */
+	/** Whether one more long request of the class may get a slot. */
 	mayRunLong(
 		rank: number,
 		shortWaitingCount: (rank: number) => number,
 	): boolean;
-	/** To be called before anything changes at an instant. */
+	/** Updates the averages to the current time. Must be called before requests begin or end. */
 	advance(now: number): void;
 	begin(entry: SlotEntry): void;
-	/** The request that has ended; undefined when no such request runs. */
+	/** Frees the slot and returns the request that has ended; undefined when no such request runs. */
 	end(id: string, completion: Completion): CallFacts | undefined;
 };
 
-/** Whether an end tells how long the operation takes, or only that it is no shorter. */
+/**
+ * Whether the duration of a result is complete or only a lower bound; other
+ * results have no usable duration.
+ */
 const isCompleteDuration: Partial<Record<Completion['result'], boolean>> = {
 	ok: true,
 	timeout: false,
--- a/packages/decisions/src/target-view.ts
+++ b/packages/decisions/src/target-view.ts
@@ -1,60 +1,74 @@
-/** What an entry node has seen of one target. */
+/** The statistics of an entry node about one target. */
 import type {LoadReport} from '@egretspoke/protocol';
 import type {RoutingCandidate} from './policy.js';
 import {updateAverage} from './rate-of-change.js';
 
-/** Ends over which a target's slowness and failures are averaged. */
+/** Number of attempts over which a target's slowness and failures are averaged. */
 const averageSpan = 16;
-/** A report counts for so long, in milliseconds; it is late when it comes and says nothing of later. */
+/**
+ * Milliseconds for which a load report is used. It is already late when it
+ * arrives, and no longer valid after this time.
+ */
 const reportLifetime = 1000;
 /**
- * Milliseconds after which a slowness that nobody confirms is down to 1/e: a
- * target that is avoided sends no news, and must get another chance.
+ * The time constant of the decay of an unconfirmed slowness, in milliseconds:
+ * after it the slowness is at 1/e. An avoided target sends no new durations
+ * and must get another chance.
  */
 const slownessDecayTime = 10_000;
-/** The longest duration that one end may count for, relative to the expected one. */
+/** The maximum duration of one attempt, relative to the expected one. */
 const maxRatio = 64;
 
-/** An attempt in flight; `expected` is 0 when nothing was known of its operation. */
+/**
+ * An attempt in flight; `expected` is its expected duration in milliseconds,
+ * or 0 when that is unknown.
+ */
 type OpenAttempt = {startedAt: number; expected: number};
 
-/** So many attempts in a row, so much longer than typical, make a target count as slow. */
+/**
+ * A target counts as slow when this many attempts in flight have taken this
+ * much longer than typical.
+ */
 const stuckCount = 3;
 const stuckFactor = 1.5;
 const stuckSlowness = 2;
-/** Attempts looked at for this, from the oldest. */
+/** The number of attempts that are checked, from the oldest. */
 const maxStuckChecks = 8;
 
-/** One target as this node sees it. */
+/** One target as seen by this node. */
 export type TargetView = {
 	candidate: RoutingCandidate;
-	/** The attempts that this node has in flight there, by id. */
+	/** This node's attempts in flight there, by id. */
 	open: Map<string, OpenAttempt>;
-	/** Of those whose duration could be expected: how many, and the sums of their starts and durations. */
+	/**
+	 * Attempts in flight with an expected duration: their number, and the sums
+	 * of their start times and expected durations.
+	 */
 	expectedCount: number;
 	startedSum: number;
 	expectedSum: number;
-	/** The latest start of those that have ended. */
+	/** The latest start of the attempts that have ended. */
 	lastEndedStart: number;
 	/** The moving average of log(duration / expected). */
 	slownessLog: number;
-	/** The moving average of ends that failed, from 0 to 1. */
+	/** The moving average of failed attempts, from 0 to 1. */
 	failures: number;
+	/** Answered attempts since the target joined or its last ejection was lifted. */
 	answerCount: number;
-	/** When `slownessLog` last moved. */
+	/** When `slownessLog` was last updated. */
 	slownessAt: number;
-	/** Load for each slot, as last reported, and when. */
+	/** The load per slot of the last report, and when it was received. */
 	reported: number;
 	reportedAt: number;
-	/** Starts less ends since the report. */
+	/** Attempts started less those ended since the report. */
 	sinceReport: number;
-	/** Until when it is ejected; 0 when it isn't. */
+	/** The end of the ejection; 0 when the target isn't ejected. */
 	ejectedUntil: number;
-	/** How often in a row it was ejected. */
+	/** The number of consecutive ejections. */
 	ejections: number;
 };
 
-/** Creates the view of a target that nothing is known of. */
+/** Creates the view of a target without statistics. */
 export function createTargetView(candidate: RoutingCandidate): TargetView {
 	return {
 		candidate,
@@ -75,7 +89,7 @@
 	};
 }
 
-/** An attempt was sent. */
+/** Records the start of an attempt. */
 export function recordStart(
 	view: TargetView,
 	id: string,
@@ -91,7 +105,7 @@
 	}
 }
 
-/** It has ended, however; false when it isn't in flight. */
+/** Records the end of an attempt; returns false when it isn't in flight. */
 export function recordEnd(view: TargetView, id: string): boolean {
 	const attempt = view.open.get(id);
 	if (!attempt) {
@@ -110,7 +124,7 @@
 	return true;
 }
 
-/** Learns how long an answered request took, relative to what was expected. */
+/** Records the duration of an answered attempt, relative to the expected one. */
 export function recordSlowness(
 	view: TargetView,
 	ratio: number,
@@ -123,18 +137,18 @@
 	view.slownessLog = updateAverage(
 		view.slownessLog,
 		value,
-		// A few samples count as if the first ones had been ordinary.
+		// The first samples are averaged with four ordinary ones.
 		view.answerCount + 4,
 		averageSpan,
 	);
 }
 
-/** Learns whether a request failed for a reason other than load. */
+/** Records whether an attempt failed for a reason other than load. */
 export function recordFailure(view: TargetView, hasFailed: boolean): void {
 	view.failures += ((hasFailed ? 1 : 0) - view.failures) / averageSpan;
 }
 
-/** Learns what the target's node reports. */
+/** Records a load report of the target's node. */
 export function recordReport(
 	view: TargetView,
 	{inFlight, waiting, limit}: LoadReport,
@@ -146,9 +160,9 @@
 }
 
 /**
- * Load for each slot: what this node has there itself, or what was reported
- * and sent since if that is more. A report can only add to what was seen, so
- * one that claims an idle target draws no load to it.
+ * The load per slot: this node's own requests, or the reported load plus the
+ * requests sent since, if that is more. A report can only raise the value, so
+ * one that wrongly claims an idle target attracts no load.
  */
 export function pressureOf(view: TargetView, now: number): number {
 	const slots = Math.max(1, view.candidate.slots);
@@ -161,9 +175,9 @@
 }
 
 /**
- * How slow the target is beside the others: 1 is ordinary. Requests in flight
- * count by their age, so that a target which has stopped answering is seen
- * before the first of them ends.
+ * The slowness of the target relative to the others; 1 is ordinary. Requests
+ * in flight count by their age, so that a target which has stopped answering
+ * is detected before the first of them ends.
  */
 export function slownessOf(view: TargetView, now: number): number {
 	const decayed = Math.exp(decayedLog(view, now));
@@ -180,9 +194,10 @@
 
 /**
  * Whether the target has stopped answering as usual: the last few attempts
- * have all outlasted what is typical, and none that was started after them has
- * ended. When durations vary exponentially this happens by chance to three
- * attempts in one case of 23, and then costs only a few choices.
+ * have all exceeded the typical duration, and no attempt that started after
+ * them has ended. With exponentially distributed durations this happens by
+ * chance to three attempts in one case of 23, and then only affects a few
+ * choices.
  */
 function isStuck({open, lastEndedStart}: TargetView, now: number): boolean {
 	let checked = 0;
--- a/packages/decisions/src/two-choices.ts
+++ b/packages/decisions/src/two-choices.ts
@@ -1,44 +1,50 @@
 /**
- * The better of two targets drawn at random.
+ * Chooses the better of two targets drawn at random.
  *
  * Load pattern: targets differ in speed, and their load changes faster than
- * anybody learns of it. Round robin sends a slow target as much as a fast one,
- * and one notices a service whose 99th percentile is that target's; the least
- * loaded by report draws every entry node at once, and one notices load that
- * swings from target to target. Two random choices do neither (Mitzenmacher
- * 2001), and requests in flight with latency tell more than a report of
- * utilisation does (Prequal, Wydrowski et al., NSDI 2024).
+ * reports arrive. Round robin sends a slow target as much as a fast one, so
+ * that it determines the service's 99th percentile; the least loaded target by
+ * report attracts all entry nodes at once, so that load swings from target to
+ * target. Two random choices avoid both (Mitzenmacher 2001). Requests in
+ * flight with latency are a better signal than reported utilisation (Prequal,
+ * Wydrowski et al., NSDI 2024).
  *
- * A target with a free slot goes before one without, an ordinary one before a
- * slow one, and one that can answer before the deadline before one that is too
- * slow for it; only then the cost decides, which is a target's slowness times its load for each slot. So a
- * slow target gets nothing while the others have room, and what its slots can
- * do once they are full. Slowness within half as much again as ordinary counts
- * as ordinary: an average of sixteen durations varies as much by chance.
- *
- * A draw costs the same however many targets there are: at most `drawLimit`
- * random draws, and a walk through all only when none of these may be chosen.
+ * The tier decides first, then the cost: slowness times load per slot. A slow
+ * target gets no requests while the others have room, and as much as its slots
+ * can run once they are full.
  */
 import type {Random} from '@egretspoke/shared';
 import {pressureOf, slownessOf, type TargetView} from './target-view.js';
 
+/**
+ * Slowness up to half as much again as ordinary counts as ordinary: an average
+ * of sixteen durations varies as much by chance.
+ */
 const normalSlowness = 1.5;
-/** Half a slot's load: an idle target is not free, so that slowness counts there too. */
+/** Half a slot's load is added to the load, so that slowness also counts for an idle target. */
 const idleCost = 0.5;
+/**
+ * The maximum number of random draws, so that the cost doesn't depend on the
+ * number of targets; all targets are scanned only when none of the drawn ones
+ * may be chosen.
+ */
 const maxDraws = 6;
 
-/** What matters before the cost: a free slot, even a slow one, but first an ordinary one. */
+/**
+ * The tiers: ordinary targets with a free slot, slow ones with a free slot,
+ * those without one, and those too slow for the deadline.
+ */
 const tiers = {free: 0, slow: 1, full: 2, tooSlow: 3} as const;
 
-/** How well a target suits a request. */
+/** How suitable a target is for a request. */
 export type Suitability = {
-	/** The place in `tiers`; the lower the better. */
+	/** The position in `tiers`; lower is better. */
 	tier: number;
-	/** The lower the better within a tier. */
+	/** Lower is better within a tier. */
 	cost: number;
 };
 
-/** Rates a target for a request with so much time left, and so much typically needed. */
+/** Rates a target for a request with the given remaining time and typical duration. */
 export function rateTarget(
 	view: TargetView,
 	timeLeft: number,
@@ -60,7 +66,7 @@
 	return {tier: effectiveSlowness > 1 ? tiers.slow : tiers.free, cost};
 }
 
-/** Whether the first suits better; of two alike it is the first. */
+/** Whether the first is more suitable; of two equal ones the first is. */
 export function isBetter(first: Suitability, second: Suitability): boolean {
 	return first.tier === second.tier
 		? first.cost <= second.cost
@@ -94,7 +100,7 @@
 	return first ? [first] : scan(pool, mayChoose, random);
 }
 
-/** One draw of a pool, without regard to its cost. */
+/** Draws one target, without regard to its cost. */
 export function drawOne(
 	pool: readonly TargetView[],
 	mayChoose: (view: TargetView) => boolean,
--- a/packages/decisions/src/typical-durations.ts
+++ b/packages/decisions/src/typical-durations.ts
@@ -1,9 +1,9 @@
 /**
  * The typical duration of each operation over all targets of a service.
  *
- * It is a running median: each sample moves it by a fixed step up or down, so
- * that the long durations of one slow target, however long, weigh no more than
- * as many ordinary ones, and that target stands out against it.
+ * It is a running median: each sample moves it up or down by a fixed step, so
+ * that the long durations of one slow target weigh no more than the same
+ * number of ordinary ones, and that target stands out.
  */
 import {findOrAdd} from './bounded-table.js';
 
@@ -14,7 +14,7 @@
 /** The medians by operation, in milliseconds. */
 export type TypicalDurations = Map<string, {median: number}>;
 
-/** The typical duration; 0 when nothing is known. */
+/** The typical duration; 0 when it is unknown. */
 export function typicalOf(
 	durations: TypicalDurations,
 	operation: string,
@@ -22,7 +22,7 @@
 	return durations.get(operation)?.median ?? 0;
 }
 
-/** Learns from an answered request. */
+/** Updates the median with the duration of an answered request. */
 export function updateTypical(
 	durations: TypicalDurations,
 	operation: string,
--- a/packages/decisions/src/upstream-refusal.ts
+++ b/packages/decisions/src/upstream-refusal.ts
@@ -1,19 +1,16 @@
 /**
- * Work that the called service would refuse is refused before it is sent.
+ * Refuses requests before they are sent when the called service would refuse
+ * them.
  *
- * Load pattern: a service is saturated and its callers go on sending. Each
- * refusal costs a hop, and refused work that has travelled through layers was
- * spent on for nothing; one notices nodes that are busy with refusals. The
- * answers bring the level in force, and a request whose priority number, or
- * whose whole class, is above it ends here (DAGOR, collaborative admission).
+ * Load pattern: a service is saturated while its callers keep sending. Each
+ * refusal costs a hop, and the work of the layers that the request has passed
+ * is wasted. Answers carry the current level, and a request whose priority
+ * number, or whose whole class, is above it is refused here (DAGOR,
+ * collaborative admission).
  *
- * What could go wrong: a level that nobody confirms any more refuses for ever.
- * So one request in each `probeInterval` passes whatever the level says; its
- * answer brings the level of that moment, and levels relax with age besides.
- *
- * Threshold: a probe every tenth of a second is ten a second and node, small
- * beside the hundreds a second which are refused when this matters, and so
- * fast that an opened level is known within the round trip after it.
+ * A level that is no longer confirmed would refuse requests forever. One
+ * request in each `probeInterval` therefore passes as a probe, and its answer
+ * carries the current level; levels also relax with age.
  */
 import {rankOf} from '@egretspoke/protocol';
 import {maxLevel, prioritiesPerClass} from './admission-level.js';
@@ -27,6 +24,11 @@
 import type {CallFacts} from './policy.js';
 
 const operationLimit = 256;
+/**
+ * Milliseconds. Ten probes a second from each node are few compared with the
+ * hundreds of refusals a second in such a case, and a raised level is known
+ * within a round trip after the probe.
+ */
 const probeInterval = 100;
 
 type ObservedLevel = {samples: LevelSamples; probedAt: number};
@@ -34,7 +36,7 @@
 /** The levels of one service by operation. */
 export type ServiceLevels = Map<string, ObservedLevel>;
 
-/** Learns the level that an answer to the operation brought. */
+/** Records the level of an answer to the operation. */
 export function recordLevel(
 	state: ServiceLevels,
 	operation: string,
@@ -48,7 +50,7 @@
 	addLevel(observed.samples, level, now);
 }
 
-/** The level that holds for the operation now. */
+/** The current level for the operation. */
 export function observedLevel(
 	state: ServiceLevels,
 	operation: string,
@@ -58,7 +60,7 @@
 	return observed ? currentLevel(observed.samples, now) : maxLevel;
 }
 
-/** Whether the request is doomed; one in each interval passes as a probe. */
+/** Whether the request would be refused; one in each interval passes as a probe. */
 export function isRefusedUpstream(
 	state: ServiceLevels,
 	call: CallFacts,
@@ -69,7 +71,8 @@
 		return false;
 	}
 
-	// Without a number only a class that is shut as a whole can be told.
+	// Without a priority number only a class that is refused as a whole can be
+	// recognised.
 	const priority =
 		call.priority ?? rankOf(call.requestClass) * prioritiesPerClass;
 	if (priority <= currentLevel(observed.samples, now)) {
