--- a/packages/decisions/__tests__/admission-parts.spec.ts
+++ b/packages/decisions/__tests__/admission-parts.spec.ts
@@ -31,8 +31,8 @@
 } from '../src/downstream-levels.js';
 
 describe('concurrency limit', () => {
-	/** Plays windows at full slots; latency is a function of the limit in force. */
-	const play = (latency: (limit: number) => number, windows: number) => {
+	/** Runs windows with full slots; latency is a function of the current limit. */
+	const runWindows = (latency: (limit: number) => number, windows: number) => {
 		const state = createConcurrencyLimit(40);
 		for (let sample = 0; sample < windows * 120; sample++) {
 			recordFull(state);
@@ -42,16 +42,17 @@
 		return state.limit;
 	};
 
-	// Ten processors stand behind forty announced slots: past ten requests each
-	// further one only makes all others slower, and users see latency for nothing.
+	// The target has ten processors but announces forty slots. Beyond ten
+	// requests each further one only makes the others slower, and clients see
+	// latency without more throughput.
 	it('comes down where latency grows with the requests in flight', () => {
-		expect(play((limit) => limit / 10, 30)).to.be.within(10, 30);
+		expect(runWindows((limit) => limit / 10, 30)).to.be.within(10, 30);
 	});
 
-	// Something deeper has become slow. Fewer requests in flight would not make
-	// it faster; a limit that fell would throw slots away, and users' goodput.
+	// A downstream service has become slow. Fewer requests in flight would not
+	// make it faster; a lower limit would only waste slots and goodput.
 	it('stays where latency rises whatever the limit', () => {
-		expect(play(() => 3, 30)).to.equal(40);
+		expect(runWindows(() => 3, 30)).to.equal(40);
 	});
 
 	it('has a floor, also for a target that sheds all the time', () => {
@@ -76,8 +77,8 @@
 	const target = {limit: 10, serviceTime: 50};
 	const queued = [{priority: 130, slotTime: 500}];
 
-	/** Windows of 200 ms with work spread evenly over the normal class. */
-	const playWindows = (
+	/** Runs windows of 200 ms with work spread evenly over the normal class. */
+	const runLevelWindows = (
 		state: ReturnType<typeof createAdmissionLevel>,
 		count: number,
 		load: number,
@@ -97,16 +98,16 @@
 
 	it('comes down to what the slots can run, and opens again', () => {
 		const state = createAdmissionLevel(0);
-		playWindows(state, 6, 4, 1);
+		runLevelWindows(state, 6, 4, 1);
 		expect(state.level).to.be.within(128, 170);
-		// Three seconds is what recovery may take.
-		playWindows(state, 15, 0.5, 0.5);
+		// The level may take three seconds to recover.
+		runLevelWindows(state, 15, 0.5, 0.5);
 		expect(state.level).to.equal(maxLevel);
 	});
 
 	it('stays open while slots are idle', () => {
 		const state = createAdmissionLevel(0);
-		playWindows(state, 10, 0.9, 0.9);
+		runLevelWindows(state, 10, 0.9, 0.9);
 		expect(state.level).to.equal(maxLevel);
 	});
 });
@@ -119,8 +120,8 @@
 		isLong: false,
 	});
 
-	/** One caller sent 1,000 requests lately, twenty others 50 each. */
-	const settled = () => {
+	/** One caller sent 1,000 requests recently, twenty others 50 each. */
+	const createSettledShares = () => {
 		const state = createFairShare(0);
 		for (let index = 0; index < 1000; index++) {
 			recordDemand(state, facts('heavy', 0));
@@ -133,7 +134,7 @@
 
 	const numbersOf = (caller: string) =>
 		Array.from({length: 1000}, (_, index) =>
-			computePriority(settled(), facts(caller, index)),
+			computePriority(createSettledShares(), facts(caller, index)),
 		);
 
 	it('puts only what is above twice the ordinary last', () => {
@@ -150,12 +151,14 @@
 				...facts('heavy', index),
 				requestClass: 'essential' as const,
 			};
-			expect(computePriority(settled(), essential)).to.be.lessThan(128);
+			expect(computePriority(createSettledShares(), essential)).to.be.lessThan(
+				128,
+			);
 		}
 	});
 
-	// Forty callers send alike, but by chance one of them sent more in these
-	// two seconds. It would lose its requests for nothing.
+	// Forty callers send at the same rate, but by chance one of them sent more
+	// in these two seconds. It must not lose requests because of that.
 	it('takes no caller for heavy that is so by chance', () => {
 		const state = createFairShare(0);
 		const random = createRandom(5);
@@ -212,8 +215,8 @@
 		expect(chainPriority(state, 'chain')).to.equal(undefined);
 	});
 
-	// One report in ten is wrong and claims a hopeless target. Believed, it
-	// would shut the operation, and users would be refused at an idle service.
+	// One report in ten is wrong and reports a level that admits no request. If
+	// it were applied, the operation would be refused while the service is idle.
 	it('does not believe a wrong report among right ones', () => {
 		const state = createDownstreamLevels();
 		beginChain(state, 'chain', 'GET /board', 0);
@@ -221,8 +224,9 @@
 		expect(downstreamLevel(state, 'GET /board', 10)).to.equal(maxLevel);
 	});
 
-	// The layer below has recovered, but everything is refused above it, so no
-	// answer ever says so. Without relaxing, the refusals would last for ever.
+	// The downstream service has recovered, but all requests are refused before
+	// they reach it, so no answer carries the new level. Without relaxing, the
+	// refusals would last forever.
 	it('opens again when nobody confirms the level', () => {
 		const state = createDownstreamLevels();
 		beginChain(state, 'chain', 'GET /board', 0);
--- a/packages/decisions/__tests__/admission.spec.ts
+++ b/packages/decisions/__tests__/admission.spec.ts
@@ -5,7 +5,7 @@
 import {
 	createAdmissionOf,
 	createCall,
-	playTarget,
+	simulateTarget,
 	servedShare,
 	type Stream,
 } from './fixtures.js';
@@ -18,7 +18,7 @@
 	// Load 1 keeps twenty slots of 50 ms busy.
 	rate: (load * 20) / 50,
 	duration: 50,
-	patience: 1000,
+	callerTimeout: 1000,
 	call,
 	...changes,
 });
@@ -26,7 +26,7 @@
 describe('admission', () => {
 	describe('under light load', () => {
 		it('serves everything', () => {
-			const {endings} = playTarget(
+			const {endings} = simulateTarget(
 				createAdmissionOf(20),
 				[stream(0.4, {}), stream(0.1, {requestClass: 'deferrable'})],
 				20_000,
@@ -37,12 +37,12 @@
 	});
 
 	describe('in a burst', () => {
-		// For two seconds three times as many requests come as the slots can
-		// run. Without a rule, the queue holds requests whose callers have gone,
-		// and users see errors long after the burst.
+		// For two seconds three times as many requests arrive as the slots can
+		// run. Without a time limit the queue holds requests whose callers have
+		// given up, and clients see errors long after the burst.
 		it('serves what the slots allow, and all that comes after it', () => {
 			const admission = createAdmissionOf(20);
-			const {endings} = playTarget(admission, [stream(3, {})], 2000);
+			const {endings} = simulateTarget(admission, [stream(3, {})], 2000);
 			expect(servedShare(endings, 0)).to.be.greaterThan(0.3);
 			const after = [createCall('after', {deadline: 20_000})];
 			expect(
@@ -66,11 +66,11 @@
 	});
 
 	describe('at saturation', () => {
-		// Twice as many requests come as the target can run, for a long time. A
-		// limit that takes the waiting for slowness would throttle a healthy
-		// target, and users would get less than it can do.
+		// Twice as many requests arrive as the target can run, for a long time. A
+		// limit that counts waiting as slowness would throttle a healthy target
+		// and lose goodput.
 		it('keeps the slots busy and essential requests whole', () => {
-			const {endings, mostRunning} = playTarget(
+			const {endings, maxRunning} = simulateTarget(
 				createAdmissionOf(20),
 				[
 					stream(0.5, {requestClass: 'essential'}),
@@ -79,16 +79,16 @@
 				],
 				30_000,
 			);
-			expect(mostRunning).to.equal(20);
+			expect(maxRunning).to.equal(20);
 			expect(servedShare(endings, 0)).to.be.greaterThan(0.99);
 			expect(servedShare(endings, 1, 3000)).to.be.within(0.42, 0.52);
 			expect(servedShare(endings, 2, 3000)).to.be.lessThan(0.1);
 		});
 
-		// The same without classes: payments are refused as readily as reports,
-		// and a boat owner can't pay while reports are being drawn.
+		// The same without classes: essential requests, such as payments, are
+		// refused as often as deferrable reports.
 		it('loses essential requests when classes are switched off', () => {
-			const {endings} = playTarget(
+			const {endings} = simulateTarget(
 				createAdmissionOf(20, ['classes']),
 				[
 					stream(0.5, {requestClass: 'essential'}),
@@ -102,8 +102,8 @@
 
 	describe('with a few heavy callers', () => {
 		// One caller sends three times what the target can run; nine others send
-		// a little each. Without shares all are refused alike, and nine lofts
-		// can't order because of one.
+		// little each. Without shares all callers are refused in the same
+		// proportion, and nine lose requests because of one.
 		const streams = [
 			stream(3, {caller: 'heavy'}),
 			...Array.from({length: 9}, (_, index) =>
@@ -111,7 +111,7 @@
 			),
 		];
 		const lightShare = (without: Parameters<typeof createAdmissionOf>[1]) => {
-			const {endings} = playTarget(
+			const {endings} = simulateTarget(
 				createAdmissionOf(20, without),
 				streams,
 				30_000,
@@ -133,9 +133,9 @@
 	});
 
 	describe('with long work among short', () => {
-		// Reports of two seconds come along with orders of 50 ms, and together
-		// they are more than the slots can run. Reports gather in the slots until
-		// an order finds none, and the menders' screens stand still.
+		// Reports of two seconds arrive along with orders of 50 ms, and together
+		// they exceed the slots. Without a limit reports occupy all slots, and
+		// orders time out.
 		const streams = [
 			stream(0.6, {operation: 'POST /orders'}),
 			stream(
@@ -144,21 +144,21 @@
 				{
 					rate: (1.5 * 20) / 2000,
 					duration: 2000,
-					patience: 10_000,
+					callerTimeout: 10_000,
 				},
 			),
 		];
 
 		it('keeps slots for the short', () => {
-			const {endings} = playTarget(createAdmissionOf(20), streams, 60_000);
+			const {endings} = simulateTarget(createAdmissionOf(20), streams, 60_000);
 			expect(servedShare(endings, 0, 10_000)).to.be.greaterThan(0.97);
 			expect(servedShare(endings, 1, 10_000)).to.be.greaterThan(0.1);
 		});
 	});
 
 	describe('with a planned stop', () => {
-		// The target is told to leave while requests wait. If they were kept,
-		// they would be cut when the process ends.
+		// The target is leaving while requests wait. Requests left in the queue
+		// would be cut when the process ends.
 		it('hands back all that waits', () => {
 			const admission = createAdmissionOf(1);
 			admission.arrive(createCall('running'), 0);
@@ -175,7 +175,7 @@
 			fc.record({
 				rate: fc.double({min: 0.001, max: 2, noNaN: true}),
 				duration: fc.double({min: 1, max: 500, noNaN: true}),
-				patience: fc.double({min: 1, max: 2000, noNaN: true}),
+				callerTimeout: fc.double({min: 1, max: 2000, noNaN: true}),
 				call: fc.record({
 					requestClass: fc.constantFrom(...requestClasses),
 					caller: fc.constantFrom('a', 'b', 'c'),
@@ -191,16 +191,16 @@
 					streams,
 					fc.integer({min: 1, max: 30}),
 					fc.integer(),
-					(played, slots, seed) => {
-						const {endings, mostRunning} = playTarget(
+					(randomStreams, slots, seed) => {
+						const {endings, maxRunning} = simulateTarget(
 							createAdmissionOf(slots),
-							played,
+							randomStreams,
 							1500,
 							createRandom(seed),
 						);
 						const names = new Set(endings.map(({call}) => call.id));
 						expect(names.size).to.equal(endings.length);
-						expect(mostRunning).to.be.at.most(slots);
+						expect(maxRunning).to.be.at.most(slots);
 						for (let number = 0; number < endings.length; number++) {
 							expect(names.has(`call-${number}`)).to.equal(true);
 						}
--- a/packages/decisions/__tests__/fixtures.ts
+++ b/packages/decisions/__tests__/fixtures.ts
@@ -1,4 +1,4 @@
-/** What the tests of the decisions share: facts of a call, and one target played on a virtual clock. */
+/** Fixtures of the decision tests: call attributes, and a simulated target on a virtual clock. */
 import {
 	createRandom,
 	createVirtualClock,
@@ -38,17 +38,17 @@
 		random: createRandom(1),
 	});
 
-/** A stream of calls, Poisson at `rate` a millisecond. */
+/** A stream of calls with Poisson arrivals at `rate` per millisecond. */
 export type Stream = {
 	rate: number;
-	/** Mean milliseconds that a call keeps its slot. */
+	/** The mean time for which a call holds its slot, in milliseconds. */
 	duration: number;
-	/** Milliseconds that its caller waits. */
-	patience: number;
+	/** Milliseconds until its caller gives up. */
+	callerTimeout: number;
 	call: Partial<CallFacts>;
 };
 
-/** How a call ended and what for. */
+/** A call and its result. */
 export type Ending = {
 	stream: number;
 	call: CallFacts;
@@ -56,18 +56,21 @@
 	result: 'served' | 'late' | ErrorCode;
 };
 
-/** Plays streams against one target's admission until `length`, then until nothing is left. */
-export function playTarget(
+/**
+ * Simulates one target's admission with streams that arrive until `length`,
+ * and runs until no request is left.
+ */
+export function simulateTarget(
 	admission: AdmissionPolicy,
 	streams: Stream[],
 	length: number,
 	random: Random = createRandom(7),
-): {endings: Ending[]; mostRunning: number} {
+): {endings: Ending[]; maxRunning: number} {
 	const clock = createVirtualClock();
 	const endings: Ending[] = [];
 	const waiting = new Map<string, Ending>();
 	let running = 0;
-	let mostRunning = 0;
+	let maxRunning = 0;
 	let identifiers = 0;
 	const exponential = (mean: number) => -Math.log(1 - random.fraction()) * mean;
 
@@ -77,18 +80,18 @@
 
 	const run = (ending: Ending) => {
 		const duration = exponential(streams[ending.stream]!.duration);
-		mostRunning = Math.max(mostRunning, ++running);
+		maxRunning = Math.max(maxRunning, ++running);
 		clock.setTimer(duration, () => {
 			running--;
 			const isLate = clock.now() > ending.call.deadline;
 			end(ending, isLate ? 'late' : 'served');
 			const completion = {duration, result: 'ok' as const};
 			admission.finish(ending.call.id, completion, clock.now());
-			takeTurns();
+			processQueue();
 		});
 	};
 
-	const takeTurns = () => {
+	const processQueue = () => {
 		for (const turn of admission.processQueue(clock.now())) {
 			const ending = waiting.get(turn.id)!;
 			waiting.delete(turn.id);
@@ -101,26 +104,26 @@
 
 		const at = admission.wakeAt();
 		if (at !== undefined) {
-			clock.setTimer(at - clock.now(), takeTurns);
+			clock.setTimer(at - clock.now(), processQueue);
 		}
 	};
 
 	const arrive = (stream: number) => {
-		const {rate, patience, call: changes} = streams[stream]!;
+		const {rate, callerTimeout, call: changes} = streams[stream]!;
 		const now = clock.now();
 		if (now >= length) {
 			return;
 		}
 
 		const id = `call-${identifiers++}`;
-		const call = createCall(id, {...changes, deadline: now + patience});
+		const call = createCall(id, {...changes, deadline: now + callerTimeout});
 		const ending: Ending = {stream, call, arrivedAt: now, result: 'late'};
 		const decision = admission.arrive(call, now);
 		if (decision.kind === 'dispatch') {
 			run(ending);
 		} else if (decision.kind === 'wait') {
 			waiting.set(id, ending);
-			takeTurns();
+			processQueue();
 		} else {
 			end(ending, decision.code);
 		}
@@ -135,13 +138,16 @@
 	}
 
 	while (clock.step()) {
-		// Until no arrival, run or wake-up is left.
+		// Runs until no arrival, request or wake-up is left.
 	}
 
-	return {endings, mostRunning};
+	return {endings, maxRunning};
 }
 
-/** The share of a stream's calls that arrived after `since` and were served in time. */
+/**
+ * The ratio of a stream's calls that arrived after `since` and were served
+ * before their deadline.
+ */
 export function servedShare(
 	endings: Ending[],
 	stream: number,
--- a/packages/decisions/__tests__/routing.spec.ts
+++ b/packages/decisions/__tests__/routing.spec.ts
@@ -45,8 +45,11 @@
 	return routing;
 };
 
-/** Sends one call a millisecond; targets take the given time. Returns the share of each. */
-const play = (
+/**
+ * Sends one call per millisecond; calls take the given duration. Returns the
+ * ratio of calls by node.
+ */
+const simulate = (
 	routing: RoutingPolicy,
 	length: number,
 	durationAt: (node: string, now: number) => number,
@@ -101,33 +104,33 @@
 describe('routing', () => {
 	describe('with a slow target', () => {
 		// One target of three takes ten times as long while its health endpoint
-		// is green. Each request that goes there is one that a user waits for.
+		// reports no problem. Each request sent there is slow for a client.
 		const slow = (node: string) => (node === 'one' ? 200 : 20);
 
 		it('sends hardly anything there', () => {
-			const shares = play(createRoutingOf(three), 20_000, slow);
+			const shares = simulate(createRoutingOf(three), 20_000, slow);
 			expect(shares.one).to.be.lessThan(0.01);
 		});
 
 		it('sends it a third without two choices and ejection', () => {
 			const without: Mechanism[] = ['two-choices', 'ejection'];
-			const shares = play(createRoutingOf(three, without), 20_000, slow);
+			const shares = simulate(createRoutingOf(three, without), 20_000, slow);
 			expect(shares.one).to.be.greaterThan(0.3);
 		});
 
 		it('sends to it again once it is as fast as the others', () => {
 			const routing = createRoutingOf(three);
-			const shares = play(routing, 60_000, (node, now) =>
+			const shares = simulate(routing, 60_000, (node, now) =>
 				node === 'one' && now < 10_000 ? 200 : 20,
 			);
 			expect(shares.one).to.be.greaterThan(0.15);
 		});
 
-		// A fault common to all targets makes all of them slow at once. If each
-		// were ejected, the last ones left would drown.
+		// A common fault makes all targets slow at once. If each were ejected, the
+		// remaining ones would be overloaded.
 		it('ejects no more than a third of the group', () => {
 			const routing = createRoutingOf(three);
-			const shares = play(routing, 20_000, (node) =>
+			const shares = simulate(routing, 20_000, (node) =>
 				node === 'three' ? 20 : 200,
 			);
 			expect(Object.keys(shares)).to.have.length(3);
@@ -135,10 +138,10 @@
 	});
 
 	describe('with wrong load reports', () => {
-		// A target's report says that it is idle, always, though it is the
-		// slowest. If reports could raise trust it would draw all the load.
+		// A target always reports that it is idle although it is the slowest. If
+		// reports could improve a target's rating, it would attract all the load.
 		it('sends no more to a target that claims to be idle', () => {
-			const shares = play(
+			const shares = simulate(
 				createRoutingOf(three),
 				20_000,
 				(node) => (node === 'one' ? 40 : 20),
@@ -153,15 +156,15 @@
 
 		it('stays in the own data centre while there is room', () => {
 			const routing = createRoutingOf([candidate('near'), far]);
-			const shares = play(routing, 5000, () => 5);
+			const shares = simulate(routing, 5000, () => 5);
 			expect(shares).to.have.all.keys('near');
 		});
 
-		// The own data centre's target is full while the next one's is idle.
-		// Staying would refuse users whom the other could serve.
+		// The target in the local data centre is full while the next data centre's
+		// is idle. Staying local would refuse requests that the other could serve.
 		it('spills when the local targets are under pressure', () => {
 			const routing = createRoutingOf([candidate('near'), far]);
-			const shares = play(routing, 5000, () => 40);
+			const shares = simulate(routing, 5000, () => 40);
 			expect(shares.far).to.be.greaterThan(0.2);
 		});
 	});
@@ -173,7 +176,7 @@
 				candidate('two', {state: 'suspect'}),
 				candidate('three'),
 			]);
-			expect(play(routing, 1000, () => 5)).to.have.all.keys('three');
+			expect(simulate(routing, 1000, () => 5)).to.have.all.keys('three');
 			const decision = routing.choose(createCall('last'), ['three'], 2000);
 			expect(decision).to.include({kind: 'send', node: 'two'});
 		});
@@ -183,8 +186,9 @@
 			expect(decision).to.include({kind: 'refuse', code: ErrorCode.NoTarget});
 		});
 
-		// A target has just been started, with cold caches. Looking idle it would
-		// get more than the others, and its first users would time out.
+		// A target has just started, with cold caches. Because it looks idle, it
+		// would get more requests than the others, and the first of them would
+		// time out.
 		it('gives a new target more only as it answers', () => {
 			const joined = [
 				candidate('new', {since: 0}),
@@ -192,16 +196,21 @@
 				candidate('three', {slots: 10}),
 			];
 			const cold = (node: string) => (node === 'new' ? 400 : 20);
-			const first = play(createRoutingOf(joined), 400, cold);
+			const first = simulate(createRoutingOf(joined), 400, cold);
 			expect(first.new).to.be.at.most(1 / 400);
-			const without = play(createRoutingOf(joined, ['slow-start']), 400, cold);
+			const without = simulate(
+				createRoutingOf(joined, ['slow-start']),
+				400,
+				cold,
+			);
 			expect(without.new).to.be.greaterThan(10 / 400);
-			const warm = play(createRoutingOf(joined), 1000, () => 20);
+			const warm = simulate(createRoutingOf(joined), 1000, () => 20);
 			expect(warm.new).to.be.greaterThan(0.25);
 		});
 
-		// All nodes of a service have just been started, and forty requests come
-		// at once. If each target took one at a time, the others would be refused.
+		// All nodes of a service have just started, and forty requests arrive at
+		// once. If each target took only one at a time, the others would be
+		// refused.
 		it('refuses nothing when the whole group is new', () => {
 			const routing = createRoutingOf([
 				candidate('one', {since: 0}),
@@ -234,9 +243,9 @@
 	});
 
 	describe('with levels seen on answers', () => {
-		// The service refuses all deferrable work and says so on its answers.
-		// Sending it more of that work would spend a hop on each refusal.
-		const shut = (routing: RoutingPolicy) => {
+		// The service refuses all deferrable requests, and its answers carry that
+		// level. Sending more of them would spend a hop on each refusal.
+		const lowerLevel = (routing: RoutingPolicy) => {
 			const call = createCall('seen', {requestClass: 'deferrable'});
 			routing.started(call, 'one', 0);
 			const load = report({level: 200});
@@ -255,7 +264,7 @@
 
 		it('refuses the class but for a probe each tenth of a second', () => {
 			const routing = createRoutingOf(three);
-			shut(routing);
+			lowerLevel(routing);
 			expect(countSent(routing, 1006)).to.be.within(9, 10);
 			const normal = createCall('normal');
 			expect(routing.choose(normal, [], 1006).kind).to.equal('send');
@@ -263,7 +272,7 @@
 
 		it('sends all of it when the mechanism is off', () => {
 			const routing = createRoutingOf(three, ['upstream-refusal']);
-			shut(routing);
+			lowerLevel(routing);
 			expect(countSent(routing, 1006)).to.equal(1000);
 		});
 	});
@@ -296,8 +305,8 @@
 			expect(decision.kind).to.equal('refuse');
 		});
 
-		// All targets refuse, and every caller tries each of them in turn. The
-		// load of the tries keeps the service down after its cause is gone.
+		// All targets refuse, and every caller tries each of them. The load of the
+		// retries keeps the service overloaded after its cause is gone.
 		it('does not try elsewhere when the whole group refuses', () => {
 			const routing = createRoutingOf(three);
 			const call = createCall('1');
@@ -313,8 +322,8 @@
 			expect(retries).to.be.at.most(10);
 		});
 
-		// Targets are gone one after the other, and each request finds that out
-		// anew. Without a budget the calls are three times the requests.
+		// Targets fail one after the other, and each request detects that anew.
+		// Without a budget there are three times as many calls as requests.
 		it('keeps retries below a tenth of the successes and a start', () => {
 			const routing = createRoutingOf(three);
 			let retries = 0;
@@ -339,7 +348,7 @@
 	});
 
 	describe('attempts of a chain', () => {
-		/** Calls at the bottom when each layer repeats what its attempts allow. */
+		/** The number of calls at the bottom when each layer retries as often as its attempts allow. */
 		const callsAtBottom = (
 			routing: RoutingPolicy,
 			layers: number,
@@ -362,8 +371,8 @@
 				: used;
 		};
 
-		// Each of four layers tries three times, and one tap on a phone is 81
-		// calls at the dispatch service that can't take one.
+		// Each of four layers tries three times, so that one request becomes 81
+		// calls at the overloaded service at the bottom.
 		it('are never more at the bottom than at the top', () => {
 			const counted = createRoutingOf(three);
 			expect(callsAtBottom(counted, 4, 3)).to.be.at.most(3);
@@ -384,6 +393,6 @@
 			{node: 'one', duration: 5, result: 'ok'},
 			5,
 		);
-		expect(play(routing, 100, () => 1)).to.have.all.keys('two');
+		expect(simulate(routing, 100, () => 1)).to.have.all.keys('two');
 	});
 });
