--- a/packages/decisions/src/admission.ts
+++ b/packages/decisions/src/admission.ts
@@ -93,7 +93,8 @@
 	const mayRunLong = (rank: number) =>
 		slots.mayRunLong(rank, (other) => shortWaitingCount(queue, other));
 
-	const describeSlots = () => `${slots.running()} of ${slots.limit()} slots`;
+	const describeSlots = () =>
+		`${slots.running()} of ${slots.limit()} slots in use`;
 
 	const refuse = (code: ErrorCode, reason: string): RefusalDecision => {
 		const {level} = started!;
@@ -134,7 +135,7 @@
 		return refuseAndUncount(
 			call,
 			code,
-			`${priority} is above level ${Math.round(allowed)}`,
+			`priority ${priority} is above level ${Math.round(allowed)}`,
 		);
 	};
 
@@ -159,7 +160,7 @@
 			return refuseAndUncount(
 				call,
 				ErrorCode.DeadlineInfeasible,
-				`takes about ${Math.round(expected)} ms, ${Math.round(deadline - now)} ms are left`,
+				`expected to take ${Math.round(expected)} ms, but ${Math.round(deadline - now)} ms are left`,
 			);
 		}
 
@@ -180,7 +181,7 @@
 			return refuseAndUncount(
 				call,
 				ErrorCode.DeadlineInfeasible,
-				`${Math.round(ahead)} ms of work are ahead of it`,
+				`${Math.round(ahead)} ms of work are queued ahead of it`,
 			);
 		}
 
@@ -198,7 +199,7 @@
 		});
 		return {
 			kind: 'wait',
-			reason: `${describeSlots()}, ${queueLength(queue)} wait`,
+			reason: `${describeSlots()}, ${queueLength(queue)} waiting`,
 		};
 	};
 
--- a/packages/decisions/src/routing.ts
+++ b/packages/decisions/src/routing.ts
@@ -132,7 +132,7 @@
 		});
 		return choice
 			? {kind: 'send', node: choice.view.candidate.node, reason: choice.reason}
-			: refuse(group, ErrorCode.NoTarget, 'no candidate is left');
+			: refuse(group, ErrorCode.NoTarget, 'no target is available');
 	};
 
 	const learn = (
@@ -219,7 +219,7 @@
 				return refuse(
 					group,
 					ErrorCode.RetryBudgetSpent,
-					`the budget towards ${call.service} is spent`,
+					`the retry budget for ${call.service} is spent`,
 					result.retryAfter,
 				);
 			}
@@ -228,7 +228,7 @@
 				kind: 'retry',
 				delay: 0,
 				exclude: [result.node],
-				reason: `${result.node} did not run it`,
+				reason: `${result.node} did not run the request`,
 			};
 		},
 		downstreamAttempts: (call) =>
@@ -245,7 +245,7 @@
 		const code = result.code ?? ErrorCode.Overloaded;
 		const reaction = reactionTo(result);
 		if (reaction === 'never') {
-			return [code, 'it would end the same elsewhere'];
+			return [code, 'the request would end the same at another target'];
 		}
 
 		if (!hasAttempts(call)) {
--- a/packages/decisions/src/target-choice.ts
+++ b/packages/decisions/src/target-choice.ts
@@ -88,13 +88,16 @@
 		if (probed) {
 			return {
 				view: probed,
-				reason: `${probed.candidate.node} is tried again after its ejection`,
+				reason: `${probed.candidate.node} is probed after its ejection`,
 			};
 		}
 	}
 
 	if (!second) {
-		return {view: first, reason: `${first.candidate.node} is the only one`};
+		return {
+			view: first,
+			reason: `${first.candidate.node} is the only available target`,
+		};
 	}
 
 	const typical = typicalOf(group.durations, call.operation);
@@ -106,6 +109,7 @@
 		: {view: second, reason: explain(second, secondRate, first, firstRate)};
 }
 
+/** The reason for the log, with tier and cost of both targets. */
 function explain(
 	chosen: TargetView,
 	rate: Suitability,
@@ -149,7 +153,7 @@
 	return (
 		view && {
 			view,
-			reason: `${view.candidate.node} of ${active ? group.views.length : group.suspect.length}`,
+			reason: `${view.candidate.node} was drawn from ${active ? group.views.length : group.suspect.length} targets`,
 		}
 	);
 }
