--- a/packages/decisions/__tests__/admission-parts.spec.ts
+++ b/packages/decisions/__tests__/admission-parts.spec.ts
@@ -45,17 +45,17 @@
 	// The target has ten processors but announces forty slots. Beyond ten
 	// requests each further one only makes the others slower, and clients see
 	// latency without more throughput.
-	it('comes down where latency grows with the requests in flight', () => {
+	it('lowers the limit when latency grows with the requests in flight', () => {
 		expect(runWindows((limit) => limit / 10, 30)).to.be.within(10, 30);
 	});
 
 	// A downstream service has become slow. Fewer requests in flight would not
 	// make it faster; a lower limit would only waste slots and goodput.
-	it('stays where latency rises whatever the limit', () => {
+	it('keeps the limit when latency rises independently of it', () => {
 		expect(runWindows(() => 3, 30)).to.equal(40);
 	});
 
-	it('has a floor, also for a target that sheds all the time', () => {
+	it('has a minimum, even for a target that always sheds', () => {
 		const state = createConcurrencyLimit(40);
 		for (let sample = 0; sample < 10_000; sample++) {
 			recordFull(state);
@@ -66,7 +66,7 @@
 		expect(state.limit).to.be.at.least(4);
 	});
 
-	it('takes a shed at low load as somebody else’s trouble', () => {
+	it('ignores a shed at low load', () => {
 		const state = createConcurrencyLimit(40);
 		recordShed(state, 3);
 		expect(state.limit).to.equal(40);
@@ -96,7 +96,7 @@
 		}
 	};
 
-	it('comes down to what the slots can run, and opens again', () => {
+	it('falls to what the slots can run, and recovers', () => {
 		const state = createAdmissionLevel(0);
 		runLevelWindows(state, 6, 4, 1);
 		expect(state.level).to.be.within(128, 170);
@@ -105,7 +105,7 @@
 		expect(state.level).to.equal(maxLevel);
 	});
 
-	it('stays open while slots are idle', () => {
+	it('admits all requests while slots are idle', () => {
 		const state = createAdmissionLevel(0);
 		runLevelWindows(state, 10, 0.9, 0.9);
 		expect(state.level).to.equal(maxLevel);
@@ -137,7 +137,7 @@
 			computePriority(createSettledShares(), facts(caller, index)),
 		);
 
-	it('puts only what is above twice the ordinary last', () => {
+	it('numbers only requests above twice the median last', () => {
 		const over = numbersOf('heavy').filter((number) =>
 			isOverSharePriority(number),
 		);
@@ -145,7 +145,7 @@
 		expect(Math.max(...numbersOf('light-3'))).to.be.lessThan(256);
 	});
 
-	it('never puts essential work last', () => {
+	it('never numbers essential requests last', () => {
 		for (let index = 0; index < 100; index++) {
 			const essential = {
 				...facts('heavy', index),
@@ -159,7 +159,7 @@
 
 	// Forty callers send at the same rate, but by chance one of them sent more
 	// in these two seconds. It must not lose requests because of that.
-	it('takes no caller for heavy that is so by chance', () => {
+	it('does not count a caller as heavy because of random variation', () => {
 		const state = createFairShare(0);
 		const random = createRandom(5);
 		for (let index = 0; index < 400; index++) {
@@ -171,7 +171,7 @@
 		expect(Math.max(...totals)).to.be.lessThan(state.heavyCount);
 	});
 
-	it('stays bounded with callers that come and go', () => {
+	it('limits the number of tracked callers and drops idle ones', () => {
 		const state = createFairShare(0);
 		for (let index = 0; index < 5000; index++) {
 			recordDemand(state, facts(`caller-${index}`, 0));
@@ -184,7 +184,7 @@
 });
 
 describe('chain hash', () => {
-	it('spreads neighbouring names evenly', () => {
+	it('spreads consecutive names evenly', () => {
 		const buckets = Array.from({length: 10}, () => 0);
 		for (let index = 0; index < 10_000; index++) {
 			buckets[Math.floor(hashFraction(`request-${index}`) * 10)]!++;
@@ -194,7 +194,7 @@
 	});
 });
 
-describe('levels below', () => {
+describe('downstream levels', () => {
 	const learn = (
 		state: ReturnType<typeof createDownstreamLevels>,
 		levels: number[],
@@ -204,7 +204,7 @@
 		}
 	};
 
-	it('ties a level to the operation that needed the service', () => {
+	it('records a level for the operation that called the service', () => {
 		const state = createDownstreamLevels();
 		beginChain(state, 'chain', 'GET /board', 77);
 		learn(state, [150, 150, 150]);
@@ -217,7 +217,7 @@
 
 	// One report in ten is wrong and reports a level that admits no request. If
 	// it were applied, the operation would be refused while the service is idle.
-	it('does not believe a wrong report among right ones', () => {
+	it('ignores a wrong report among right ones', () => {
 		const state = createDownstreamLevels();
 		beginChain(state, 'chain', 'GET /board', 0);
 		learn(state, [383, 383, -1, 383, 383, 383, -1, 383, 383]);
@@ -227,7 +227,7 @@
 	// The downstream service has recovered, but all requests are refused before
 	// they reach it, so no answer carries the new level. Without relaxing, the
 	// refusals would last forever.
-	it('opens again when nobody confirms the level', () => {
+	it('admits all requests again when the level is not confirmed', () => {
 		const state = createDownstreamLevels();
 		beginChain(state, 'chain', 'GET /board', 0);
 		learn(state, [100]);
--- a/packages/decisions/__tests__/admission.spec.ts
+++ b/packages/decisions/__tests__/admission.spec.ts
@@ -25,7 +25,7 @@
 
 describe('admission', () => {
 	describe('under light load', () => {
-		it('serves everything', () => {
+		it('serves all requests', () => {
 			const {endings} = simulateTarget(
 				createAdmissionOf(20),
 				[stream(0.4, {}), stream(0.1, {requestClass: 'deferrable'})],
@@ -40,7 +40,7 @@
 		// For two seconds three times as many requests arrive as the slots can
 		// run. Without a time limit the queue holds requests whose callers have
 		// given up, and clients see errors long after the burst.
-		it('serves what the slots allow, and all that comes after it', () => {
+		it('serves what the slots can run, and all requests after the burst', () => {
 			const admission = createAdmissionOf(20);
 			const {endings} = simulateTarget(admission, [stream(3, {})], 2000);
 			expect(servedShare(endings, 0)).to.be.greaterThan(0.3);
@@ -50,7 +50,7 @@
 			).to.deep.equal(['dispatch']);
 		});
 
-		it('says at once when to come back, and not everybody the same', () => {
+		it('refuses immediately with varying retry-after times', () => {
 			const admission = createAdmissionOf(1);
 			admission.arrive(createCall('running', {deadline: 5000}), 0);
 			admission.finish('running', {duration: 100, result: 'ok'}, 100);
@@ -69,7 +69,7 @@
 		// Twice as many requests arrive as the target can run, for a long time. A
 		// limit that counts waiting as slowness would throttle a healthy target
 		// and lose goodput.
-		it('keeps the slots busy and essential requests whole', () => {
+		it('keeps the slots busy and serves essential requests', () => {
 			const {endings, maxRunning} = simulateTarget(
 				createAdmissionOf(20),
 				[
@@ -87,7 +87,7 @@
 
 		// The same without classes: essential requests, such as payments, are
 		// refused as often as deferrable reports.
-		it('loses essential requests when classes are switched off', () => {
+		it('loses essential requests without classes', () => {
 			const {endings} = simulateTarget(
 				createAdmissionOf(20, ['classes']),
 				[
@@ -123,16 +123,16 @@
 			return served.length / light.length;
 		};
 
-		it('refuses the heavy one first', () => {
+		it('refuses the heavy caller first', () => {
 			expect(lightShare([])).to.be.greaterThan(0.98);
 		});
 
-		it('refuses everybody alike when shares are switched off', () => {
+		it('refuses all callers alike without fair shares', () => {
 			expect(lightShare(['fair-share'])).to.be.lessThan(0.7);
 		});
 	});
 
-	describe('with long work among short', () => {
+	describe('with long and short operations', () => {
 		// Reports of two seconds arrive along with orders of 50 ms, and together
 		// they exceed the slots. Without a limit reports occupy all slots, and
 		// orders time out.
@@ -149,7 +149,7 @@
 			),
 		];
 
-		it('keeps slots for the short', () => {
+		it('reserves slots for short operations', () => {
 			const {endings} = simulateTarget(createAdmissionOf(20), streams, 60_000);
 			expect(servedShare(endings, 0, 10_000)).to.be.greaterThan(0.97);
 			expect(servedShare(endings, 1, 10_000)).to.be.greaterThan(0.1);
@@ -159,7 +159,7 @@
 	describe('with a planned stop', () => {
 		// The target is leaving while requests wait. Requests left in the queue
 		// would be cut when the process ends.
-		it('hands back all that waits', () => {
+		it('refuses all waiting requests', () => {
 			const admission = createAdmissionOf(1);
 			admission.arrive(createCall('running'), 0);
 			admission.arrive(createCall('waiting'), 1);
@@ -170,7 +170,7 @@
 		});
 	});
 
-	describe('whatever comes', () => {
+	describe('with random streams', () => {
 		const streams = fc.array(
 			fc.record({
 				rate: fc.double({min: 0.001, max: 2, noNaN: true}),
@@ -185,7 +185,7 @@
 			{minLength: 1, maxLength: 4},
 		);
 
-		it('ends every request once and never runs more than the slots', () => {
+		it('ends every request once and never exceeds the slots', () => {
 			fc.assert(
 				fc.property(
 					streams,
--- a/packages/decisions/__tests__/egretspoke-policy.spec.ts
+++ b/packages/decisions/__tests__/egretspoke-policy.spec.ts
@@ -4,7 +4,7 @@
 import {createCall} from './fixtures.js';
 
 describe('egretspoke policy', () => {
-	it('dispatches essential work before the normal work that came first', () => {
+	it('dispatches an essential request before an earlier normal one', () => {
 		const admission = egretspokePolicy.createAdmission({
 			service: 'orders',
 			slots: 1,
@@ -23,7 +23,7 @@
 		]);
 	});
 
-	it('sends to a candidate that takes work', () => {
+	it('sends to an active candidate', () => {
 		const routing = egretspokePolicy.createRouting({
 			dataCentre: 'a',
 			random: createRandom(1),
--- a/packages/decisions/__tests__/routing.spec.ts
+++ b/packages/decisions/__tests__/routing.spec.ts
@@ -107,18 +107,18 @@
 		// reports no problem. Each request sent there is slow for a client.
 		const slow = (node: string) => (node === 'one' ? 200 : 20);
 
-		it('sends hardly anything there', () => {
+		it('sends hardly any requests there', () => {
 			const shares = simulate(createRoutingOf(three), 20_000, slow);
 			expect(shares.one).to.be.lessThan(0.01);
 		});
 
-		it('sends it a third without two choices and ejection', () => {
+		it('sends a third there without two choices and ejection', () => {
 			const without: Mechanism[] = ['two-choices', 'ejection'];
 			const shares = simulate(createRoutingOf(three, without), 20_000, slow);
 			expect(shares.one).to.be.greaterThan(0.3);
 		});
 
-		it('sends to it again once it is as fast as the others', () => {
+		it('resumes sending once it is as fast as the others', () => {
 			const routing = createRoutingOf(three);
 			const shares = simulate(routing, 60_000, (node, now) =>
 				node === 'one' && now < 10_000 ? 200 : 20,
@@ -140,7 +140,7 @@
 	describe('with wrong load reports', () => {
 		// A target always reports that it is idle although it is the slowest. If
 		// reports could improve a target's rating, it would attract all the load.
-		it('sends no more to a target that claims to be idle', () => {
+		it('sends no more to a target that reports to be idle', () => {
 			const shares = simulate(
 				createRoutingOf(three),
 				20_000,
@@ -151,10 +151,10 @@
 		});
 	});
 
-	describe('by place', () => {
+	describe('by data centre', () => {
 		const far = candidate('far', {dataCentre: 'b'});
 
-		it('stays in the own data centre while there is room', () => {
+		it('stays in the local data centre while it has room', () => {
 			const routing = createRoutingOf([candidate('near'), far]);
 			const shares = simulate(routing, 5000, () => 5);
 			expect(shares).to.have.all.keys('near');
@@ -162,15 +162,15 @@
 
 		// The target in the local data centre is full while the next data centre's
 		// is idle. Staying local would refuse requests that the other could serve.
-		it('spills when the local targets are under pressure', () => {
+		it('uses remote targets when the local ones are loaded', () => {
 			const routing = createRoutingOf([candidate('near'), far]);
 			const shares = simulate(routing, 5000, () => 40);
 			expect(shares.far).to.be.greaterThan(0.2);
 		});
 	});
 
-	describe('with members that change', () => {
-		it('sends nothing to a leaving target, and to a suspect one only at last', () => {
+	describe('with changing members', () => {
+		it('sends nothing to a leaving target, and to a suspect one only as a last resort', () => {
 			const routing = createRoutingOf([
 				candidate('one', {state: 'leaving'}),
 				candidate('two', {state: 'suspect'}),
@@ -181,7 +181,7 @@
 			expect(decision).to.include({kind: 'send', node: 'two'});
 		});
 
-		it('says so when no target is left', () => {
+		it('refuses with NoTarget when no target is available', () => {
 			const decision = createRoutingOf([]).choose(createCall('1'), [], 0);
 			expect(decision).to.include({kind: 'refuse', code: ErrorCode.NoTarget});
 		});
@@ -189,7 +189,7 @@
 		// A target has just started, with cold caches. Because it looks idle, it
 		// would get more requests than the others, and the first of them would
 		// time out.
-		it('gives a new target more only as it answers', () => {
+		it('increases the load of a new target only as it answers', () => {
 			const joined = [
 				candidate('new', {since: 0}),
 				candidate('two', {slots: 10}),
@@ -211,7 +211,7 @@
 		// All nodes of a service have just started, and forty requests arrive at
 		// once. If each target took only one at a time, the others would be
 		// refused.
-		it('refuses nothing when the whole group is new', () => {
+		it('refuses nothing when all targets are new', () => {
 			const routing = createRoutingOf([
 				candidate('one', {since: 0}),
 				candidate('two', {since: 0}),
@@ -226,7 +226,7 @@
 			}
 		});
 
-		it('never holds more requests at a target than its connections', () => {
+		it('never sends more requests to a target than its connections', () => {
 			const routing = createRoutingOf([candidate('one', {connections: 10})]);
 			let sent = 0;
 			for (let index = 0; index < 50; index++) {
@@ -242,7 +242,7 @@
 		});
 	});
 
-	describe('with levels seen on answers', () => {
+	describe('with levels from answers', () => {
 		// The service refuses all deferrable requests, and its answers carry that
 		// level. Sending more of them would spend a hop on each refusal.
 		const lowerLevel = (routing: RoutingPolicy) => {
@@ -262,7 +262,7 @@
 			return sent;
 		};
 
-		it('refuses the class but for a probe each tenth of a second', () => {
+		it('refuses the class except for a probe every tenth of a second', () => {
 			const routing = createRoutingOf(three);
 			lowerLevel(routing);
 			expect(countSent(routing, 1006)).to.be.within(9, 10);
@@ -270,7 +270,7 @@
 			expect(routing.choose(normal, [], 1006).kind).to.equal('send');
 		});
 
-		it('sends all of it when the mechanism is off', () => {
+		it('sends all requests when the mechanism is off', () => {
 			const routing = createRoutingOf(three, ['upstream-refusal']);
 			lowerLevel(routing);
 			expect(countSent(routing, 1006)).to.equal(1000);
@@ -278,7 +278,7 @@
 	});
 
 	describe('after a refusal', () => {
-		it('tries elsewhere when the target is leaving', () => {
+		it('retries at another target when the target is leaving', () => {
 			const decision = createRoutingOf(three).retry(
 				createCall('1'),
 				refused(ErrorCode.Leaving),
@@ -287,7 +287,7 @@
 			expect(decision).to.deep.include({kind: 'retry', exclude: ['one']});
 		});
 
-		it('does not try again when the attempts of the chain are spent', () => {
+		it('does not retry when the attempts of the chain are spent', () => {
 			const decision = createRoutingOf(three).retry(
 				createCall('1', {attempts: 1}),
 				refused(ErrorCode.Leaving),
@@ -296,7 +296,7 @@
 			expect(decision).to.include({kind: 'refuse', retryAfter: 70});
 		});
 
-		it('never repeats an attempt whose outcome is not known', () => {
+		it('never retries an attempt with an unknown outcome', () => {
 			const decision = createRoutingOf(three).retry(
 				createCall('1'),
 				{node: 'one', duration: 1, result: 'unknown'},
@@ -307,7 +307,7 @@
 
 		// All targets refuse, and every caller tries each of them. The load of the
 		// retries keeps the service overloaded after its cause is gone.
-		it('does not try elsewhere when the whole group refuses', () => {
+		it('does not retry when the whole group refuses', () => {
 			const routing = createRoutingOf(three);
 			const call = createCall('1');
 			let retries = 0;
@@ -324,7 +324,7 @@
 
 		// Targets fail one after the other, and each request detects that anew.
 		// Without a budget there are three times as many calls as requests.
-		it('keeps retries below a tenth of the successes and a start', () => {
+		it('keeps retries below a tenth of the successes plus the initial budget', () => {
 			const routing = createRoutingOf(three);
 			let retries = 0;
 			for (let index = 0; index < 1000; index++) {
@@ -384,7 +384,7 @@
 		});
 	});
 
-	it('forgets requests and targets that are gone', () => {
+	it('drops requests and targets that are gone', () => {
 		const routing = createRoutingOf(three);
 		routing.started(createCall('1'), 'one', 0);
 		routing.candidatesChanged('orders', [candidate('two')], 1);
