--- a/packages/decisions/__tests__/admission-parts.spec.ts
+++ b/packages/decisions/__tests__/admission-parts.spec.ts
@@ -2,10 +2,10 @@
 import {createRandom} from '@egretspoke/shared';
 import {
 	closeLevelWindow,
-	recordSlotTime,
 	createAdmissionLevel,
 	maxLevel,
 	recordArrival,
+	recordSlotTime,
 } from '../src/admission-level.js';
 import {hashFraction} from '../src/chain-hash.js';
 import {
@@ -15,19 +15,19 @@
 	recordShed,
 } from '../src/concurrency-limit.js';
 import {
+	computePriority,
 	createFairShare,
 	isOverSharePriority,
 	recordDemand,
-	computePriority,
 	updateShares,
 } from '../src/fair-share.js';
 import {
 	beginChain,
 	chainPriority,
 	createDownstreamLevels,
+	downstreamLevel,
 	endChain,
 	recordDownstreamLevel,
-	downstreamLevel,
 } from '../src/downstream-levels.js';
 
 describe('concurrency limit', () => {
--- a/packages/decisions/__tests__/admission.spec.ts
+++ b/packages/decisions/__tests__/admission.spec.ts
@@ -5,8 +5,8 @@
 import {
 	createAdmissionOf,
 	createCall,
-	simulateTarget,
 	servedShare,
+	simulateTarget,
 	type Stream,
 } from './fixtures.js';
 
--- a/packages/decisions/src/admission-level.ts
+++ b/packages/decisions/src/admission-level.ts
@@ -78,7 +78,7 @@
 
 /** The state of the target at the end of a window. */
 export type TargetState = {
-	/** The number of slots in use by the concurrency limit. */
+	/** The current concurrency limit, in slots. */
 	limit: number;
 	/** The waiting requests. */
 	waiting: Iterable<{priority: number; slotTime: number}>;
@@ -169,24 +169,25 @@
 	isIdle: boolean,
 ): void {
 	const {arrived, demand, level} = state;
-	const kept = isIdle ? decayAboveLevelIdle : decayAboveLevel;
+	const decay = isIdle ? decayAboveLevelIdle : decayAboveLevel;
 	const share = Math.max(demandWeight, 1 / ++state.windows);
 	for (let number = 0; number <= maxLevel; number++) {
-		const known = demand[number]!;
-		const moved = known + (arrived[number]! / elapsed - known) * share;
-		demand[number] = number <= level ? moved : Math.max(moved, known * kept);
+		const previous = demand[number]!;
+		const averaged = previous + (arrived[number]! / elapsed - previous) * share;
+		demand[number] =
+			number <= level ? averaged : Math.max(averaged, previous * decay);
 	}
 }
 
 /** The level that admits as much more work as the idle slots can run. */
 function levelForIdleSlots(state: AdmissionLevel, idle: number): number {
 	const admitted = sumUpTo(state.demand, state.level);
-	const wanted = limitChange(
+	const allowed = limitChange(
 		admitted,
 		admitted / (1 - Math.min(idle, 0.9)),
 		raiseBounds,
 	);
-	return raise(state, wanted - admitted);
+	return raiseLevel(state, allowed - admitted);
 }
 
 /** The level at which waiting and expected requests fill the slots and the desired queue. */
@@ -195,7 +196,7 @@
 	{limit, serviceTime, waiting}: TargetState,
 	elapsed: number,
 ): number {
-	const aimed = desiredQueueTime * limit * serviceTime;
+	const desiredQueue = desiredQueueTime * limit * serviceTime;
 	const queued = new Float64Array(maxLevel + 1);
 	for (const {priority, slotTime} of waiting) {
 		queued[priority]! += slotTime;
@@ -203,21 +204,21 @@
 
 	const queuedSum = sumUpTo(queued, state.level);
 	const admitted = sumUpTo(state.demand, state.level);
-	const spare = limit * elapsed + aimed - queuedSum - admitted * elapsed;
+	const spare = limit * elapsed + desiredQueue - queuedSum - admitted * elapsed;
 	if (spare >= 0) {
-		return raise(state, spare / elapsed);
+		return raiseLevel(state, spare / elapsed);
 	}
 
-	if (queuedSum < aimed / 2) {
+	if (queuedSum < desiredQueue / 2) {
 		return state.level;
 	}
 
-	const least = limitChange(admitted, 0) * elapsed;
-	const wanted = Math.max(least, limit * elapsed + aimed);
+	const minAdmitted = limitChange(admitted, 0) * elapsed;
+	const allowed = Math.max(minAdmitted, limit * elapsed + desiredQueue);
 	let sum = 0;
 	for (let number = 0; number <= state.level; number++) {
 		sum += state.demand[number]! * elapsed + queued[number]!;
-		if (sum > wanted) {
+		if (sum > allowed) {
 			return Math.max(minLevel, number - 1);
 		}
 	}
@@ -230,7 +231,7 @@
  * per millisecond. A number without recorded demand counts as the average of
  * the numbers below the level.
  */
-function raise(state: AdmissionLevel, more: number): number {
+function raiseLevel(state: AdmissionLevel, more: number): number {
 	if (state.level >= maxLevel || more <= 0) {
 		return state.level;
 	}
--- a/packages/decisions/src/admission-options.ts
+++ b/packages/decisions/src/admission-options.ts
@@ -32,7 +32,7 @@
 export function createAdmissionOptions(
 	context: AdmissionContext,
 ): AdmissionOptions {
-	const {without, downstreamLevels: below, random} = context;
+	const {without, downstreamLevels, random} = context;
 	const isEnabled = (mechanism: Mechanism) => !without?.has(mechanism);
 	const options: AdmissionOptions = {
 		classes: requestClasses.length,
@@ -46,7 +46,9 @@
 		latestStart,
 		queueExpiry,
 		downstreamLevel: (operation, now) =>
-			below ? downstreamLevel(below, operation, now) : maxLevel,
+			downstreamLevels
+				? downstreamLevel(downstreamLevels, operation, now)
+				: maxLevel,
 		retryAfterTime: (backlog) => retryAfterTime(backlog, random),
 	};
 	for (const mechanism of without ?? []) {
--- a/packages/decisions/src/admission.ts
+++ b/packages/decisions/src/admission.ts
@@ -7,34 +7,34 @@
 import {ErrorCode} from '@egretspoke/protocol';
 import {
 	closeLevelWindow,
-	recordSlotTime,
 	createAdmissionLevel,
-	maxLevel,
 	isWindowOver,
-	windowLength,
+	maxLevel,
 	recordArrival,
+	recordSlotTime,
+	windowLength,
 	type AdmissionLevel,
 } from './admission-level.js';
 import {createAdmissionOptions} from './admission-options.js';
 import {
 	createAdmissionQueue,
+	dequeue,
 	enqueue,
 	firstToExpire,
-	queueLength,
+	hasShortWaiting,
 	oldestOverShare,
-	shortWaitingCount,
-	slotTimeAhead,
+	queueLength,
 	removeAll,
 	removeById,
-	dequeue,
+	shortWaitingCount,
+	slotTimeAhead,
 	waitingEntries,
-	hasShortWaiting,
 	type QueueEntry,
 } from './admission-queue.js';
 import {
 	createFairShare,
-	uncountDemand,
 	isOverSharePriority,
+	uncountDemand,
 	updateShares,
 	type FairShare,
 } from './fair-share.js';
@@ -43,11 +43,11 @@
 	AdmissionContext,
 	AdmissionDecision,
 	AdmissionPolicy,
-	QueueDecision,
 	CallFacts,
+	QueueDecision,
 	RefusalDecision,
 } from './policy.js';
-import {prioritizeRequest, defaultDuration} from './request-priority.js';
+import {defaultDuration, prioritizeRequest} from './request-priority.js';
 import {createSlotTable} from './slot-table.js';
 
 /** Milliseconds until waiting long requests are checked again while slots are free. */
@@ -149,9 +149,9 @@
 		const request = prioritizeRequest(call, options, slots.durations, shares);
 		const {priority, rank, isLong, expected, slotTime} = request;
 		recordArrival(level, priority, slotTime);
-		const below = options.downstreamLevel(operation, now);
-		if (priority > below) {
-			return refuseByLevel(call, priority, below);
+		const downstreamLevel = options.downstreamLevel(operation, now);
+		if (priority > downstreamLevel) {
+			return refuseByLevel(call, priority, downstreamLevel);
 		}
 
 		const running = runningCountOf(slots.durations, operation);
@@ -176,12 +176,12 @@
 			return refuseByLevel(call, priority, level.level);
 		}
 
-		const ahead = slotTimeAhead(queue, priority, isLong) / slots.limit();
-		if (options.hasFeasibility && now + ahead > latestStart) {
+		const waitTime = slotTimeAhead(queue, priority, isLong) / slots.limit();
+		if (options.hasFeasibility && now + waitTime > latestStart) {
 			return refuseAndUncount(
 				call,
 				ErrorCode.DeadlineInfeasible,
-				`${Math.round(ahead)} ms of work are queued ahead of it`,
+				`${Math.round(waitTime)} ms of work are queued ahead of it`,
 			);
 		}
 
@@ -222,7 +222,7 @@
 	};
 
 	const refuseExpired = (now: number): QueueDecision[] => {
-		const turns: QueueDecision[] = [];
+		const decisions: QueueDecision[] = [];
 		for (let entry = nextExpired(now); entry; entry = nextExpired(now)) {
 			const {call, latestStart, since} = entry;
 			removeById(queue, call.id);
@@ -231,14 +231,14 @@
 					? ErrorCode.DeadlineInfeasible
 					: ErrorCode.QueueTimeout;
 			const reason = `waited ${Math.round(now - since)} ms`;
-			turns.push({id: call.id, ...refuseAndUncount(call, code, reason)});
+			decisions.push({id: call.id, ...refuseAndUncount(call, code, reason)});
 		}
 
-		return turns;
+		return decisions;
 	};
 
 	const dispatchWaiting = (now: number): QueueDecision[] => {
-		const turns: QueueDecision[] = [];
+		const decisions: QueueDecision[] = [];
 		while (slots.isFree()) {
 			const entry = dequeue(queue, mayRunLong);
 			if (!entry) {
@@ -247,14 +247,14 @@
 
 			queueDelay = now - entry.since;
 			slots.begin(entry);
-			turns.push({
+			decisions.push({
 				id: entry.call.id,
 				kind: 'dispatch',
 				reason: `waited ${Math.round(queueDelay)} ms, ${describeSlots()}`,
 			});
 		}
 
-		return turns;
+		return decisions;
 	};
 
 	return {
@@ -278,10 +278,10 @@
 				return undefined;
 			}
 
-			const held = slots.isFree()
+			const recheckAt = slots.isFree()
 				? started!.level.countedUntil + heldRecheckInterval
 				: Number.POSITIVE_INFINITY;
-			return Math.min(first.expiresAt, overShareExpiry(), held);
+			return Math.min(first.expiresAt, overShareExpiry(), recheckAt);
 		},
 		drain: () =>
 			removeAll(queue).map(({call}) => ({
@@ -293,14 +293,14 @@
 			})),
 		report(now, operation) {
 			const own = started?.level.level ?? maxLevel;
-			const below =
+			const downstreamLevel =
 				operation === undefined ? own : options.downstreamLevel(operation, now);
 			return {
 				inFlight: slots.running(),
 				limit: slots.limit(),
 				waiting: queueLength(queue),
 				queueDelay: queueLength(queue) === 0 ? 0 : queueDelay,
-				level: Math.min(own, Math.round(below)),
+				level: Math.min(own, Math.round(downstreamLevel)),
 				serviceTime: slots.durations.average,
 			};
 		},
--- a/packages/decisions/src/chain-attempts.ts
+++ b/packages/decisions/src/chain-attempts.ts
@@ -12,7 +12,7 @@
 import type {CallFacts} from './policy.js';
 
 /** The attempts that the downstream chain may use. */
-export function attemptsBelow({attempts}: CallFacts): number {
+export function downstreamAttempts({attempts}: CallFacts): number {
 	return Math.max(1, attempts);
 }
 
--- a/packages/decisions/src/concurrency-limit.ts
+++ b/packages/decisions/src/concurrency-limit.ts
@@ -36,8 +36,8 @@
 const baselineWeight = 1 / 4;
 /**
  * The weight of a full window, and the maximum relative deviation of its mean
- * that counts as noise. Larger deviations are ignored upwards, so that
- * crowding never becomes the baseline.
+ * that counts as noise. A larger fall is applied at once; a larger rise is
+ * ignored, so that crowding never becomes the baseline.
  */
 const fullBaselineWeight = 1 / 16;
 const noiseRatio = 1 / 4;
--- a/packages/decisions/src/ejection.ts
+++ b/packages/decisions/src/ejection.ts
@@ -16,8 +16,8 @@
  */
 import {isStarting} from './slow-start.js';
 import {
-	recordSlowness,
 	pressureOf,
+	recordSlowness,
 	slownessOf,
 	type TargetView,
 } from './target-view.js';
@@ -25,8 +25,9 @@
 /** Three times the typical duration, averaged over sixteen requests, exceeds random variation. */
 const slowFactor = 3;
 /**
- * Half of sixteen requests failed, if it is twice the ratio of another target,
- * because a fault of a downstream service shows at all of them.
+ * A target is failing when more than half of sixteen requests failed and this
+ * is more than twice the ratio of another target, because a fault of a
+ * downstream service shows at all of them.
  */
 const failureShare = 0.5;
 /**
@@ -72,7 +73,7 @@
 	other: TargetView | undefined;
 };
 
-/** Ejects the target, lifts its ejection, or leaves its state. */
+/** Ejects the target, lifts its ejection, or does nothing. */
 export function updateEjection(
 	group: EjectionGroup,
 	view: TargetView,
--- a/packages/decisions/src/request-priority.ts
+++ b/packages/decisions/src/request-priority.ts
@@ -2,7 +2,7 @@
 import {rankOf} from '@egretspoke/protocol';
 import {maxEssentialPriority} from './admission-level.js';
 import type {AdmissionOptions} from './admission-options.js';
-import {recordDemand, computePriority, type FairShare} from './fair-share.js';
+import {computePriority, recordDemand, type FairShare} from './fair-share.js';
 import {isLongDuration} from './long-operation-limit.js';
 import {
 	expectedDuration,
--- a/packages/decisions/src/routing.ts
+++ b/packages/decisions/src/routing.ts
@@ -5,7 +5,7 @@
  */
 import {ErrorCode} from '@egretspoke/protocol';
 import {fixedRetryAfterTime} from './admission-options.js';
-import {attemptsBelow, hasAttempts} from './chain-attempts.js';
+import {downstreamAttempts, hasAttempts} from './chain-attempts.js';
 import {retryAfterTime} from './retry-after-time.js';
 import {updateEjection} from './ejection.js';
 import {isGroupOverloaded, recordAttempt} from './group-load.js';
@@ -36,11 +36,11 @@
 	recordStart,
 } from './target-view.js';
 import {drawOne} from './two-choices.js';
-import {updateTypical, typicalOf} from './typical-durations.js';
+import {typicalOf, updateTypical} from './typical-durations.js';
 import {
 	isRefusedUpstream,
-	recordLevel,
 	observedLevel,
+	recordLevel,
 } from './upstream-refusal.js';
 
 /** Attempts at every layer while `chain-attempts` is switched off. */
@@ -55,7 +55,7 @@
 
 /** Creates the routing of one entry node. */
 export function createRouting(context: PolicyContext): RoutingPolicy {
-	const {dataCentre, random, without, downstreamLevels: below} = context;
+	const {dataCentre, random, without, downstreamLevels} = context;
 	const choiceOptions = createChoiceOptions(without);
 	const hasUpstreamRefusal = !without?.has('upstream-refusal');
 	const hasRetryBudget = !without?.has('retry-budget');
@@ -109,8 +109,8 @@
 			const level = Math.round(
 				observedLevel(group.levels, call.operation, now),
 			);
-			if (below) {
-				recordDownstreamLevel(below, call.chain ?? call.id, {
+			if (downstreamLevels) {
+				recordDownstreamLevel(downstreamLevels, call.chain ?? call.id, {
 					service: call.service,
 					level,
 					now,
@@ -194,10 +194,10 @@
 			if (result.load) {
 				const {level} = result.load;
 				recordLevel(group.levels, call.operation, level, now);
-				if (below) {
+				if (downstreamLevels) {
 					const chain = call.chain ?? call.id;
 					const {service} = call;
-					recordDownstreamLevel(below, chain, {service, level, now});
+					recordDownstreamLevel(downstreamLevels, chain, {service, level, now});
 				}
 			}
 		},
@@ -232,7 +232,7 @@
 			};
 		},
 		downstreamAttempts: (call) =>
-			hasChainAttempts ? attemptsBelow(call) : defaultAttempts,
+			hasChainAttempts ? downstreamAttempts(call) : defaultAttempts,
 	};
 
 	/** The reason why no further attempt is made; undefined when one may be made. */
--- a/packages/decisions/src/slot-table.ts
+++ b/packages/decisions/src/slot-table.ts
@@ -37,7 +37,7 @@
 /** The slots of one target. */
 export type SlotTable = {
 	durations: OperationDurations;
-	/** The number of slots in use by the concurrency limit. */
+	/** The current concurrency limit, in slots. */
 	limit(): number;
 	running(): number;
 	isFree(): boolean;
@@ -65,7 +65,7 @@
 
 /** Creates idle slots. */
 export function createSlotTable(
-	{slots, downstreamLevels: below}: AdmissionContext,
+	{slots, downstreamLevels}: AdmissionContext,
 	options: AdmissionOptions,
 ): SlotTable {
 	const durations = createOperationDurations();
@@ -114,8 +114,13 @@
 				recordFull(limit);
 			}
 
-			if (below) {
-				beginChain(below, call.chain ?? call.id, call.operation, priority);
+			if (downstreamLevels) {
+				beginChain(
+					downstreamLevels,
+					call.chain ?? call.id,
+					call.operation,
+					priority,
+				);
 			}
 		},
 		end(id, completion) {
@@ -127,8 +132,8 @@
 			entries.delete(id);
 			count(entry, -1);
 			learn(entry.call, completion);
-			if (below) {
-				endChain(below, entry.call.chain ?? id);
+			if (downstreamLevels) {
+				endChain(downstreamLevels, entry.call.chain ?? id);
 			}
 
 			return entry.call;
