--- a/packages/decisions/src/bounded-table.ts
+++ b/packages/decisions/src/bounded-table.ts
@@ -7,9 +7,9 @@
 	limit: number,
 	create: () => Value,
 ): Value {
-	const known = table.get(key);
-	if (known !== undefined) {
-		return known;
+	const existing = table.get(key);
+	if (existing !== undefined) {
+		return existing;
 	}
 
 	if (table.size >= limit) {
--- a/packages/decisions/src/downstream-levels.ts
+++ b/packages/decisions/src/downstream-levels.ts
@@ -46,9 +46,9 @@
 	operation: string,
 	priority: number,
 ): void {
-	const known = state.chains.get(chain);
-	if (known) {
-		known.count++;
+	const running = state.chains.get(chain);
+	if (running) {
+		running.count++;
 	} else {
 		state.chains.set(chain, {operation, priority, count: 1});
 	}
@@ -56,8 +56,8 @@
 
 /** Records that the request has ended. */
 export function endChain(state: DownstreamLevels, chain: string): void {
-	const known = state.chains.get(chain);
-	if (known && --known.count === 0) {
+	const running = state.chains.get(chain);
+	if (running && --running.count === 0) {
 		state.chains.delete(chain);
 	}
 }
@@ -87,10 +87,10 @@
 		operationLimit,
 		() => new Map<string, LevelSamples>(),
 	);
-	const known = findOrAdd(services, observed.service, serviceLimit, () =>
+	const samples = findOrAdd(services, observed.service, serviceLimit, () =>
 		createLevelSamples(),
 	);
-	addLevel(known, observed.level, observed.now);
+	addLevel(samples, observed.level, observed.now);
 }
 
 /** The level up to which downstream services admit requests of the operation. */
@@ -102,8 +102,8 @@
 	let lowest = maxLevel;
 	const services = state.byOperation.get(operation);
 	if (services) {
-		for (const known of services.values()) {
-			lowest = Math.min(lowest, currentLevel(known, now));
+		for (const samples of services.values()) {
+			lowest = Math.min(lowest, currentLevel(samples, now));
 		}
 	}
 
--- a/packages/decisions/src/lazy-heap.ts
+++ b/packages/decisions/src/lazy-heap.ts
@@ -44,9 +44,9 @@
 }
 
 function sweep<Item extends Removable>(heap: LazyHeap<Item>): void {
-	const kept = heap.items.filter(({isRemoved}) => !isRemoved);
+	const remaining = heap.items.filter(({isRemoved}) => !isRemoved);
 	heap.items = [];
-	for (const item of kept) {
+	for (const item of remaining) {
 		siftUp(heap, item);
 	}
 }
--- a/packages/decisions/src/typical-durations.ts
+++ b/packages/decisions/src/typical-durations.ts
@@ -29,8 +29,8 @@
 	duration: number,
 ): void {
 	const value = Math.max(duration, 0.01);
-	const known = findOrAdd(durations, operation, operationLimit, () => ({
+	const entry = findOrAdd(durations, operation, operationLimit, () => ({
 		median: value,
 	}));
-	known.median *= value > known.median ? step : 1 / step;
+	entry.median *= value > entry.median ? step : 1 / step;
 }
