--- a/packages/decisions/__tests__/routing.spec.ts
+++ b/packages/decisions/__tests__/routing.spec.ts
@@ -140,7 +140,7 @@
 	describe('with wrong load reports', () => {
 		// A target always reports that it is idle although it is the slowest. If
 		// reports could improve a target's rating, it would attract all the load.
-		it('sends no more to a target that reports to be idle', () => {
+		it('sends no more to a target that reports itself as idle', () => {
 			const shares = simulate(
 				createRoutingOf(three),
 				20_000,
--- a/packages/decisions/src/downstream-levels.ts
+++ b/packages/decisions/src/downstream-levels.ts
@@ -46,9 +46,9 @@
 	operation: string,
 	priority: number,
 ): void {
-	const running = state.chains.get(chain);
-	if (running) {
-		running.count++;
+	const known = state.chains.get(chain);
+	if (known) {
+		known.count++;
 	} else {
 		state.chains.set(chain, {operation, priority, count: 1});
 	}
@@ -56,8 +56,8 @@
 
 /** Records that the request has ended. */
 export function endChain(state: DownstreamLevels, chain: string): void {
-	const running = state.chains.get(chain);
-	if (running && --running.count === 0) {
+	const known = state.chains.get(chain);
+	if (known && --known.count === 0) {
 		state.chains.delete(chain);
 	}
 }
--- a/packages/decisions/src/policy.ts
+++ b/packages/decisions/src/policy.ts
@@ -10,7 +10,7 @@
 
 /** The request attributes that decisions may use. */
 export type CallFacts = {
-	/** Unique at this node; each attempt of a request has an id of its own. */
+	/** Unique at this node; each attempt of a request has its own id. */
 	id: string;
 	service: string;
 	requestClass: RequestClass;
@@ -84,7 +84,7 @@
 	report(now: number, operation?: string): LoadReport;
 };
 
-/** A target as the entry node has it from membership. */
+/** A target that membership reports as a candidate for a service. */
 export type RoutingCandidate = {
 	node: string;
 	dataCentre: string;
