--- a/packages/node/src/start-node.ts
+++ b/packages/node/src/start-node.ts
@@ -22,7 +22,7 @@
 import {createAdminListener} from './admin-listener.js';
 import {createAdminServices} from './admin-services.js';
 import {createCallerListener} from './caller-listener.js';
-import {followControl} from './control-follower.js';
+import {followControl} from './control-subscription.js';
 import {createNodeCore, type CoreControl, type NodeCore} from './node-core.js';
 import {createNodeInstruments} from './node-instruments.js';
 import {formatAddress, parseAddress} from './settings-address.js';
@@ -30,7 +30,7 @@
 import type {NodeReporter} from './node-reporter.js';
 import type {NodeSettings} from './settings.js';
 import {createSupervisor} from './supervisor.js';
-import {createTargetBeside} from './target-beside.js';
+import {createTargetBeside} from './announcement-handler.js';
 import {
 	createWebSocketTransport,
 	type WebSocketTransport,
