--- a/packages/node/__tests__/observing-reporter.spec.ts
+++ b/packages/node/__tests__/observing-reporter.spec.ts
@@ -41,7 +41,7 @@
 describe('observing reporter', () => {
 	it('logs, remembers and counts a decision', async () => {
 		const {log, memory, metrics, reporter, written} = createObserved();
-		reporter.decide({
+		reporter.recordDecision({
 			name: 'retried',
 			request: 'r1',
 			reason: 'not run at b',
@@ -57,10 +57,10 @@
 
 	it('logs and counts notices', async () => {
 		const {log, metrics, reporter, written} = createObserved();
-		reporter.notice({name: 'malformedRequest', fault: 'tooLarge'});
-		reporter.notice({name: 'peerRefused', detail: 'wrong signature'});
-		reporter.notice({name: 'operatorRefused', detail: 'unauthorized'});
-		reporter.notice({name: 'memberChanged', node: 'b', state: 'gone'});
+		reporter.recordEvent({name: 'malformedRequest', fault: 'tooLarge'});
+		reporter.recordEvent({name: 'peerRefused', detail: 'wrong signature'});
+		reporter.recordEvent({name: 'operatorRefused', detail: 'unauthorized'});
+		reporter.recordEvent({name: 'memberChanged', node: 'b', state: 'gone'});
 		log.flush();
 		expect(written.join('')).to.contain('member b is gone');
 		const text = await metrics.render();
@@ -71,7 +71,7 @@
 
 	it('counts an outcome that is not known under its error, and remembers the end', async () => {
 		const {memory, metrics, reporter} = createObserved();
-		reporter.ended({
+		reporter.recordRequestEnd({
 			request: 'r1',
 			service: 'orders',
 			requestClass: 'normal',
--- a/packages/node/src/attempt-sender.ts
+++ b/packages/node/src/attempt-sender.ts
@@ -69,7 +69,7 @@
 		const decision = routing.choose(facts, exclude, clock.now());
 		if (decision.kind === 'refuse') {
 			const {code, reason, retryAfter} = decision;
-			reporter.decide({name: 'routingRefused', request: request.id, reason});
+			reporter.recordDecision({name: 'routingRefused', request: request.id, reason});
 			return {
 				outcome: refuseTicket(ticket, {code, reason, retryAfter}),
 				given: 0,
@@ -77,7 +77,7 @@
 		}
 
 		const {node, reason} = decision;
-		reporter.decide({
+		reporter.recordDecision({
 			name: 'routed',
 			request: request.id,
 			reason,
--- a/packages/node/src/attempts.ts
+++ b/packages/node/src/attempts.ts
@@ -82,7 +82,7 @@
 			const tried = {...last.facts, attempts: left};
 			const decision = routing.retry(tried, last.result, clock.now());
 			left -= 1;
-			reporter.decide({
+			reporter.recordDecision({
 				name: decision.kind === 'retry' ? 'retried' : 'retryRefused',
 				request: request.id,
 				reason: decision.reason,
--- a/packages/node/src/caller-listener.ts
+++ b/packages/node/src/caller-listener.ts
@@ -70,7 +70,7 @@
 	);
 	server.maxConnections = options.connectionLimit;
 	server.on('clientError', (error: NodeJS.ErrnoException, socket) => {
-		options.reporter.notice({
+		options.reporter.recordEvent({
 			name: 'malformedRequest',
 			fault: error.code ?? 'unknown',
 		});
@@ -164,7 +164,7 @@
 			response.writeHead(204).end();
 		},
 		(fault) => {
-			reporter.notice({name: 'malformedRequest', fault: 'announcement'});
+			reporter.recordEvent({name: 'malformedRequest', fault: 'announcement'});
 			response.writeHead(400).end(`${fault}\n`);
 		},
 	);
@@ -178,7 +178,7 @@
 ): Promise<CallerOutcome> {
 	const body = await readBody(request, options.bodyLimit, budget);
 	if (body.isErr()) {
-		options.reporter.notice({name: 'malformedRequest', fault: body.error});
+		options.reporter.recordEvent({name: 'malformedRequest', fault: body.error});
 		const {code, retryAfter} = bodyRefusals[body.error];
 		return {request: 'none', outcome: refuseHere(code, retryAfter)};
 	}
@@ -207,7 +207,7 @@
 ): Promise<CallerOutcome> {
 	const read = readCallerRequest(request, body);
 	if (read.isErr()) {
-		options.reporter.notice({name: 'malformedRequest', fault: 'header'});
+		options.reporter.recordEvent({name: 'malformedRequest', fault: 'header'});
 		const detail = read.error.join('; ');
 		return {
 			request: 'none',
--- a/packages/node/src/control-subscription.ts
+++ b/packages/node/src/control-subscription.ts
@@ -20,7 +20,7 @@
 			return;
 		}
 
-		reporter.notice({
+		reporter.recordEvent({
 			name: 'memberChanged',
 			node: member.node,
 			state: member.state,
@@ -38,21 +38,21 @@
 		}
 	});
 	void control.membership.pauses.observe((pause) => {
-		reporter.notice({name: 'suspended', pause});
+		reporter.recordEvent({name: 'suspended', pause});
 	});
 	void control.configuration.platformChanges.observe(({state, detail = ''}) => {
-		reporter.notice(
+		reporter.recordEvent(
 			state === 'reachable'
 				? {name: 'platformReachable'}
 				: {name: 'platformUnreachable', detail},
 		);
 	});
 	void control.configuration.rejected.observe(({version, reason}) => {
-		reporter.notice({name: 'configurationRefused', version, detail: reason});
+		reporter.recordEvent({name: 'configurationRefused', version, detail: reason});
 	});
 	void control.configuration.accepted.observe(({version}) => {
 		const source = control.configuration.source();
-		reporter.notice({name: 'configurationTaken', version, source});
+		reporter.recordEvent({name: 'configurationTaken', version, source});
 	});
 }
 
--- a/packages/node/src/entry.ts
+++ b/packages/node/src/entry.ts
@@ -149,7 +149,7 @@
 			linked,
 		);
 		linked.release();
-		reporter.ended({
+		reporter.recordRequestEnd({
 			request: request.id,
 			service,
 			requestClass: request.requestClass,
@@ -240,7 +240,7 @@
 		call: EntryCall,
 		caller: LinkedAbort,
 	): Promise<Outcome> => {
-		reporter.decide({
+		reporter.recordDecision({
 			name: 'homePassed',
 			request: call.request.id,
 			reason: 'the key has its home elsewhere',
@@ -264,7 +264,7 @@
 		service = incoming.service,
 	): CallerOutcome => {
 		const request = incoming.id ?? 'none';
-		reporter.ended({
+		reporter.recordRequestEnd({
 			request,
 			service,
 			requestClass: 'normal',
@@ -273,7 +273,7 @@
 			role: 'entry',
 		});
 		if (outcome.kind !== 'answered') {
-			reporter.decide({
+			reporter.recordDecision({
 				name: 'entryRefused',
 				request,
 				reason: outcome.refusal.detail,
--- a/packages/node/src/ingress.ts
+++ b/packages/node/src/ingress.ts
@@ -114,7 +114,7 @@
 		);
 		context.running.remove(request.id);
 		const duration = clock.now() - startedAt;
-		reporter.decide({
+		reporter.recordDecision({
 			name: 'targetEnded',
 			request: request.id,
 			reason: result.kind,
@@ -160,7 +160,7 @@
 		};
 		const barred = signal.aborted ? ErrorCode.CallerGone : findObstacle();
 		if (barred !== undefined) {
-			reporter.decide({
+			reporter.recordDecision({
 				name: 'admissionRefused',
 				request: request.id,
 				reason: ErrorCode[barred],
@@ -169,7 +169,7 @@
 		}
 
 		const decision = admission.arrive(facts, now);
-		reporter.decide({
+		reporter.recordDecision({
 			name: admissionNames[decision.kind],
 			request: request.id,
 			reason: decision.reason,
@@ -180,7 +180,7 @@
 
 		if (decision.kind === 'wait') {
 			const turn = await turns.wait(facts, signal);
-			reporter.decide({
+			reporter.recordDecision({
 				name: turn.kind === 'dispatch' ? 'dispatched' : 'admissionRefused',
 				request: request.id,
 				reason: turn.reason,
@@ -190,7 +190,7 @@
 			}
 		}
 
-		reporter.waited(request.service, clock.now() - now);
+		reporter.recordWait(request.service, clock.now() - now);
 		return dispatch(request, facts, ticket, signal);
 	};
 
--- a/packages/node/src/key-report.ts
+++ b/packages/node/src/key-report.ts
@@ -22,7 +22,7 @@
 	if (outcome.kind === 'answered') {
 		if (outcome.repeated) {
 			const reason = 'the key ran before';
-			reporter.decide({name: 'keyRepeated', request, reason});
+			reporter.recordDecision({name: 'keyRepeated', request, reason});
 		}
 
 		return;
@@ -30,6 +30,6 @@
 
 	const {code, detail} = outcome.refusal;
 	if (ledgerCodes.has(code)) {
-		reporter.decide({name: 'keyRefused', request, reason: detail});
+		reporter.recordDecision({name: 'keyRefused', request, reason: detail});
 	}
 }
--- a/packages/node/src/node-core.ts
+++ b/packages/node/src/node-core.ts
@@ -271,7 +271,7 @@
 		},
 		leave() {
 			if (!ingress?.isLeaving()) {
-				reporter.notice({name: 'leaving', reason: 'asked to leave'});
+				reporter.recordEvent({name: 'leaving', reason: 'asked to leave'});
 			}
 
 			ingress?.leave();
--- a/packages/node/src/node-quarantine.ts
+++ b/packages/node/src/node-quarantine.ts
@@ -82,7 +82,7 @@
 		},
 		keep: options.keep,
 		onQuarantined({identity, crashes}) {
-			reporter.notice({name: 'requestQuarantined', identity, crashes});
+			reporter.recordEvent({name: 'requestQuarantined', identity, crashes});
 		},
 	});
 	void createTicks(clock, expiryPeriod, signal).observe(quarantine.expire);
@@ -100,7 +100,7 @@
 			}
 
 			const {identity, crashes} = suspect;
-			reporter.decide({
+			reporter.recordDecision({
 				name: 'quarantined',
 				request: call.id,
 				reason: 'quarantined',
--- a/packages/node/src/node-reporter.ts
+++ b/packages/node/src/node-reporter.ts
@@ -30,7 +30,7 @@
 };
 
 /** What happened outside of any one request. */
-export type NodeNotice =
+export type NodeEvent =
 	| {name: 'lateAnswer'; peer: string}
 	| {name: 'malformedMessage'; detail: string}
 	| {name: 'peerRefused'; detail: string}
@@ -64,17 +64,17 @@
 
 /** Where the core reports; none of its functions may block or throw. */
 export type NodeReporter = {
-	decide(decision: Decision): void;
-	notice(notice: NodeNotice): void;
-	ended(end: RequestEnd): void;
+	recordDecision(decision: Decision): void;
+	recordEvent(notice: NodeEvent): void;
+	recordRequestEnd(end: RequestEnd): void;
 	/** Milliseconds that a dispatched request had waited. */
-	waited(service: string, delay: number): void;
+	recordWait(service: string, delay: number): void;
 };
 
 /** A reporter that keeps nothing. */
 export const silentReporter: NodeReporter = {
-	decide: () => undefined,
-	notice: () => undefined,
-	ended: () => undefined,
-	waited: () => undefined,
+	recordDecision: () => undefined,
+	recordEvent: () => undefined,
+	recordRequestEnd: () => undefined,
+	recordWait: () => undefined,
 };
--- a/packages/node/src/observing-reporter.ts
+++ b/packages/node/src/observing-reporter.ts
@@ -10,7 +10,7 @@
 import type {
 	Decision,
 	DecisionName,
-	NodeNotice,
+	NodeEvent,
 	NodeReporter,
 } from './node-reporter.js';
 
@@ -22,14 +22,14 @@
 	clock: Clock;
 };
 
-type CountNotice<Name extends NodeNotice['name']> = (
+type CountNotice<Name extends NodeEvent['name']> = (
 	metrics: Metrics,
-	notice: Extract<NodeNotice, {name: Name}>,
+	notice: Extract<NodeEvent, {name: Name}>,
 ) => void;
 
 /** The notices that are counted besides being logged. */
 const noticeCounters: {
-	[Name in NodeNotice['name']]?: CountNotice<Name>;
+	[Name in NodeEvent['name']]?: CountNotice<Name>;
 } = {
 	lateAnswer(metrics) {
 		metrics.lateAnswer();
@@ -80,15 +80,15 @@
 	};
 
 	return {
-		decide,
-		notice(notice) {
+		recordDecision: decide,
+		recordEvent(notice) {
 			const {name, reason, ...details} = {reason: undefined, ...notice};
 			log.record(name, {details, ...(reason !== undefined && {reason})});
 			const count = noticeCounters[name] as
-				CountNotice<NodeNotice['name']> | undefined;
+				CountNotice<NodeEvent['name']> | undefined;
 			count?.(metrics, notice);
 		},
-		ended({outcome, request, ...end}) {
+		recordRequestEnd({outcome, request, ...end}) {
 			if (end.role === 'entry') {
 				decide({
 					name: 'requestEnded',
@@ -109,7 +109,7 @@
 				}),
 			});
 		},
-		waited(service, delay) {
+		recordWait(service, delay) {
 			metrics.waited(service, delay);
 		},
 	};
--- a/packages/node/src/peer-connection.ts
+++ b/packages/node/src/peer-connection.ts
@@ -101,7 +101,7 @@
 	};
 
 	const rejectMessage = (message: Message) => {
-		services.reporter.notice({
+		services.reporter.recordEvent({
 			name: 'malformedMessage',
 			detail: `${message.type} after the handshake`,
 		});
@@ -116,7 +116,7 @@
 		},
 		answer(message: AnswerMessage) {
 			if (!exchanges.settle(message)) {
-				services.reporter.notice({
+				services.reporter.recordEvent({
 					name: 'lateAnswer',
 					peer: channel.peer.node,
 				});
--- a/packages/node/src/peers.ts
+++ b/packages/node/src/peers.ts
@@ -102,7 +102,7 @@
 			byNode.set(node, open);
 		}
 
-		services.reporter.notice({name: 'peerConnected', peer: node});
+		services.reporter.recordEvent({name: 'peerConnected', peer: node});
 		supervisor.start(`${node}#${connectionNumber++}`, async (signal) => {
 			const close = () => {
 				connection.close('stopping');
@@ -131,7 +131,7 @@
 			}
 		}
 
-		services.reporter.notice({name: 'peerLost', peer: node});
+		services.reporter.recordEvent({name: 'peerLost', peer: node});
 	};
 
 	const open = async (address: string): Promise<PeerConnection | undefined> => {
--- a/packages/node/src/start-node.ts
+++ b/packages/node/src/start-node.ts
@@ -79,7 +79,7 @@
 	const {reporter} = instruments;
 	const supervisor = createSupervisor(clock, ({path, error, restartIn}) => {
 		const detail = describeError(error);
-		reporter.notice({name: 'childFailed', path, detail, restartIn});
+		reporter.recordEvent({name: 'childFailed', path, detail, restartIn});
 	});
 	const transport = createTransport(settings, clock, self, reporter);
 	const peer = await listenOn(transport, settings.listeners.peer);
@@ -142,7 +142,7 @@
 		bodyLimit: limits.body,
 		...(secrets.operator !== undefined && {secret: secrets.operator}),
 		onMalformed(detail) {
-			reporter.notice({name: 'operatorRefused', detail});
+			reporter.recordEvent({name: 'operatorRefused', detail});
 		},
 	});
 	const adminAddress = await listenOn(admin, settings.listeners.admin);
@@ -150,7 +150,7 @@
 	void suspectRows.run(supervisor.signal);
 	await control.start(supervisor.signal);
 	if (control.configuration.source() === 'defaults') {
-		reporter.notice({name: 'runningOnDefaults'});
+		reporter.recordEvent({name: 'runningOnDefaults'});
 	}
 
 	if (settings.target?.announcement) {
@@ -182,7 +182,7 @@
 			caller.drain();
 			await control.end();
 			const cut = await stop();
-			reporter.notice({name: 'drained', cut});
+			reporter.recordEvent({name: 'drained', cut});
 			instruments.log.flush();
 			return cut;
 		},
@@ -213,10 +213,10 @@
 		messageLimit: limits.body + envelopeSize,
 		handshakeLimit,
 		onMalformed(detail) {
-			reporter.notice({name: 'malformedMessage', detail});
+			reporter.recordEvent({name: 'malformedMessage', detail});
 		},
 		onRefused(detail) {
-			reporter.notice({name: 'peerRefused', detail});
+			reporter.recordEvent({name: 'peerRefused', detail});
 		},
 	});
 }
--- a/packages/node/src/target-watch.ts
+++ b/packages/node/src/target-watch.ts
@@ -34,7 +34,7 @@
 			onResult(await target.isListening());
 		},
 		onCrash(runs, lost) {
-			reporter.notice({name: 'targetCrashed', requests: lost});
+			reporter.recordEvent({name: 'targetCrashed', requests: lost});
 			const now = clock.now();
 			const crashed = runs.map(({request, startedAt}) => ({
 				identity: identifyRequest(partsOf(request)),
@@ -43,7 +43,7 @@
 			}));
 			quarantine.noteCrash(crashed);
 			for (const [index, {request, startedAt}] of runs.entries()) {
-				reporter.decide({
+				reporter.recordDecision({
 					name: 'crashedUnder',
 					request: request.id,
 					reason: 'targetCrashed',
