--- a/packages/faults/src/fake-node.ts
+++ b/packages/faults/src/fake-node.ts
@@ -77,7 +77,7 @@
 		transport: network.attach(endpoint),
 		supervisor,
 		reporter: silentReporter,
-		keepSuspects(suspects) {
+		persistSuspects(suspects) {
 			suspectRows.note(suspects);
 		},
 		attemptHandler: options.handlers.attempt,
--- a/packages/node/__tests__/chain-attempts.spec.ts
+++ b/packages/node/__tests__/chain-attempts.spec.ts
@@ -95,7 +95,7 @@
 			transport: attach({node, incarnation: 1, dataCentre: 'gh-coast-1'}),
 			supervisor: createSupervisor(clock, () => undefined),
 			reporter: silentReporter,
-			keepSuspects: () => undefined,
+			persistSuspects: () => undefined,
 			ledger: {capacity: 10, bytesCapacity: 1000, maximumLifetime: 60_000},
 			control: {
 				classify: () => ({
--- a/packages/node/__tests__/running-requests.spec.ts
+++ b/packages/node/__tests__/running-requests.spec.ts
@@ -13,7 +13,7 @@
 		signal: new AbortController().signal,
 	});
 	const allot = (operation: string) => {
-		const allotment = running.allot('parent', {
+		const allotment = running.allocate('parent', {
 			service: 'loft-queues',
 			operation,
 		});
@@ -27,12 +27,12 @@
 	it('knows nothing of a request that does not run here', () => {
 		const {running} = createParent(0);
 		const call = {service: 's', operation: 'GET /'};
-		expect(running.allot('other', call)).to.equal(undefined);
+		expect(running.allocate('other', call)).to.equal(undefined);
 	});
 
 	it('passes on the stamped class, the first caller and the deadline', () => {
 		const {running} = createParent(0);
-		const allotment = running.allot('parent', {
+		const allotment = running.allocate('parent', {
 			service: 's',
 			operation: 'GET /',
 		});
--- a/packages/node/src/attempts.ts
+++ b/packages/node/src/attempts.ts
@@ -102,7 +102,7 @@
 		},
 		finish() {
 			const spare = Math.min(left, request.attempts - 1);
-			call.allotment?.giveBack(Math.max(0, spare));
+			call.allocation?.returnUnused(Math.max(0, spare));
 		},
 	};
 }
--- a/packages/node/src/caller-listener.ts
+++ b/packages/node/src/caller-listener.ts
@@ -15,7 +15,7 @@
 import type {CallerEntry, CallerOutcome} from './caller-request.js';
 import {readBody, type BodyFault} from './request-body.js';
 import {readCallerRequest} from './caller-request-reader.js';
-import {refuseHere} from './entry-refusal.js';
+import {refuseAsNotRun} from './entry-refusal.js';
 import type {NodeReporter} from './node-reporter.js';
 import {isAnnouncement, readAnnouncement} from './target-announcement.js';
 import {listen} from './web-socket-transport.js';
@@ -180,7 +180,7 @@
 	if (body.isErr()) {
 		options.reporter.recordEvent({name: 'malformedRequest', fault: body.error});
 		const {code, retryAfter} = bodyRefusals[body.error];
-		return {request: 'none', outcome: refuseHere(code, retryAfter)};
+		return {request: 'none', outcome: refuseAsNotRun(code, retryAfter)};
 	}
 
 	const {length} = body.value;
@@ -211,7 +211,7 @@
 		const detail = read.error.join('; ');
 		return {
 			request: 'none',
-			outcome: refuseHere(ErrorCode.MalformedRequest, undefined, detail),
+			outcome: refuseAsNotRun(ErrorCode.MalformedRequest, undefined, detail),
 		};
 	}
 
--- a/packages/node/src/entry-keys.ts
+++ b/packages/node/src/entry-keys.ts
@@ -16,7 +16,7 @@
 } from '@egretspoke/protocol';
 import type {Ledger} from '@egretspoke/ledger';
 import type {CallerRequest} from './caller-request.js';
-import {refuseHere, refuseUnknown} from './entry-refusal.js';
+import {refuseAsNotRun, refuseAsUnknown} from './entry-refusal.js';
 
 type KeyParts = Pick<CallRequest, 'service' | 'key' | 'keyExpiry'>;
 
@@ -60,7 +60,7 @@
 		isRepeatHere,
 		refuse: (incoming, code, retryAfter) =>
 			isFirst(incoming)
-				? refuseHere(code, retryAfter)
-				: refuseUnknown(code, retryAfter),
+				? refuseAsNotRun(code, retryAfter)
+				: refuseAsUnknown(code, retryAfter),
 	};
 }
--- a/packages/node/src/entry-refusal.ts
+++ b/packages/node/src/entry-refusal.ts
@@ -9,7 +9,7 @@
 } from '@egretspoke/protocol';
 
 /** Says "not run", with the proof of a ticket that never left this process. */
-export function refuseHere(
+export function refuseAsNotRun(
 	code: ErrorCode,
 	retryAfter?: number,
 	detail?: string,
@@ -31,7 +31,7 @@
  * run" would be true of this attempt alone, and its user, whose earlier attempt
  * may have run, would take it for the request.
  */
-export function refuseUnknown(code: ErrorCode, retryAfter?: number): Outcome {
+export function refuseAsUnknown(code: ErrorCode, retryAfter?: number): Outcome {
 	return admitUnknown(
 		createRefusal(code, {...(retryAfter !== undefined && {retryAfter})}),
 	);
--- a/packages/node/src/entry.ts
+++ b/packages/node/src/entry.ts
@@ -24,7 +24,7 @@
 	CallerOutcome,
 	CallerRequest,
 } from './caller-request.js';
-import {refuseHere, refuseUnknown} from './entry-refusal.js';
+import {refuseAsNotRun, refuseAsUnknown} from './entry-refusal.js';
 import {createKeyRefusals} from './entry-keys.js';
 import {attemptIdempotent} from './attempt-idempotent.js';
 import type {ExchangeResult} from './exchange-table.js';
@@ -81,7 +81,7 @@
 	/** Handles a request whose key has its home here. */
 	handleAtHome(request: CallRequest, signal: AbortSignal): Promise<Outcome>;
 	/** Requests that have not been answered yet. */
-	open(): number;
+	openRequests(): number;
 	/** Resolves when every request has been answered. */
 	whenIdle(): Promise<void>;
 };
@@ -133,9 +133,9 @@
 		}
 
 		const startedAt = clock.now();
-		const {request, allotment} = call.value;
+		const {request, allocation: allotment} = call.value;
 		if (context.quarantine.bars(request)) {
-			return end(incoming, refuseUnknown(ErrorCode.Quarantined));
+			return end(incoming, refuseAsUnknown(ErrorCode.Quarantined));
 		}
 
 		const priority = allotment && context.priorityOf(request.id);
@@ -183,11 +183,11 @@
 		}
 
 		if (key === undefined) {
-			return async () => refuseHere(ErrorCode.KeyRequired);
+			return async () => refuseAsNotRun(ErrorCode.KeyRequired);
 		}
 
 		if (home === undefined) {
-			return async () => refuseHere(ErrorCode.HomeRequired);
+			return async () => refuseAsNotRun(ErrorCode.HomeRequired);
 		}
 
 		return formatHome(home) === formatHome(self)
@@ -253,7 +253,7 @@
 				caller.signal,
 			);
 			return isUnsent
-				? refuseUnknown(ErrorCode.HomeUnreachable, homeRetryAfter)
+				? refuseAsUnknown(ErrorCode.HomeUnreachable, homeRetryAfter)
 				: outcome;
 		});
 	};
@@ -290,11 +290,11 @@
 		async handleAtHome(request, signal) {
 			const barred = context.refusalOf();
 			if (barred !== undefined && !keys.mayHaveRunHere(request)) {
-				return refuseHere(barred, 0);
+				return refuseAsNotRun(barred, 0);
 			}
 
 			if (context.quarantine.bars(request)) {
-				return refuseUnknown(ErrorCode.Quarantined);
+				return refuseAsUnknown(ErrorCode.Quarantined);
 			}
 
 			const deadline = clock.now() + request.timeLeft;
@@ -302,7 +302,7 @@
 			const caller = createLinkedAbort(signal);
 			return idle.during(async () => handleKey(call, caller));
 		},
-		open: idle.count,
+		openRequests: idle.count,
 		whenIdle: idle.whenIdle,
 	};
 }
--- a/packages/node/src/exchange-table.ts
+++ b/packages/node/src/exchange-table.ts
@@ -58,7 +58,7 @@
 	return {
 		async open(create, signal) {
 			if (isClosed || signal.aborted) {
-				return notSent();
+				return createUnsentResult();
 			}
 
 			const exchange = nextExchange++;
@@ -76,7 +76,7 @@
 
 				open.set(exchange, settle);
 				if (!send(create(exchange))) {
-					settle(notSent());
+					settle(createUnsentResult());
 					return;
 				}
 
@@ -164,7 +164,7 @@
 }
 
 /** The end of an exchange whose first message never left. */
-export function notSent(): ExchangeResult {
+export function createUnsentResult(): ExchangeResult {
 	return {
 		isUnsent: true,
 		outcome: refuseNotRun(
--- a/packages/node/src/node-core.ts
+++ b/packages/node/src/node-core.ts
@@ -33,7 +33,7 @@
 import type {Suspect} from '@egretspoke/quarantine';
 import {createAttemptSender} from './attempt-sender.js';
 import {createEntry, type Entry} from './entry.js';
-import {refuseHere, refuseUnknown} from './entry-refusal.js';
+import {refuseAsNotRun, refuseAsUnknown} from './entry-refusal.js';
 import {createMemberDirectory} from './member-directory.js';
 import type {ExchangeResult} from './exchange-table.js';
 import {createIdleCounter} from './idle-counter.js';
@@ -82,7 +82,7 @@
 	control: CoreControl;
 	ledger: Omit<LedgerOptions, 'clock'>;
 	/** Keeps requests that crash targets beyond the life of this process. */
-	keepSuspects: (suspects: Suspect[]) => void;
+	persistSuspects: (suspects: Suspect[]) => void;
 	/** How the home handles a key; only tests take another than `attemptAtMostOnce`. */
 	attemptHandler?: AttemptHandler;
 };
@@ -100,7 +100,7 @@
 	ledger: Ledger;
 	quarantine: NodeQuarantine;
 	/** Requests in progress here, of callers and of other nodes, each counted once. */
-	open(): number;
+	openRequests(): number;
 	/** Undefined until the target has announced itself. */
 	ingress(): Ingress | undefined;
 	/** Takes the target's announcement; a second one replaces the first. */
@@ -149,7 +149,7 @@
 		tell(address, message) {
 			void peers.tell(address, message);
 		},
-		keep: context.keepSuspects,
+		keep: context.persistSuspects,
 		signal: supervisor.signal,
 	});
 
@@ -161,7 +161,7 @@
 		signal: AbortSignal,
 	): Promise<ExchangeResult> => {
 		if (ingress?.service !== request.service) {
-			return {outcome: refuseHere(ErrorCode.NoTarget, 0)};
+			return {outcome: refuseAsNotRun(ErrorCode.NoTarget, 0)};
 		}
 
 		const outcome = await ingress.run(request, signal);
@@ -178,7 +178,7 @@
 			const outcome =
 				home === formatHome(self)
 					? await entry.handleAtHome(request, signal)
-					: refuseUnknown(ErrorCode.HomeGone);
+					: refuseAsUnknown(ErrorCode.HomeGone);
 			return {outcome};
 		},
 	};
@@ -237,7 +237,7 @@
 		async passToHome(home, request, signal) {
 			const member = directory.byNode(home.node);
 			if (!member || home.node === self.node) {
-				return {outcome: refuseUnknown(ErrorCode.HomeGone)};
+				return {outcome: refuseAsUnknown(ErrorCode.HomeGone)};
 			}
 
 			const options = {role: 'pass' as const, home: formatHome(home)};
@@ -261,7 +261,7 @@
 		peers,
 		ledger,
 		quarantine,
-		open: () => entry.open() + fromPeers.count(),
+		openRequests: () => entry.openRequests() + fromPeers.count(),
 		isServed: (service) => directory.isServed(service),
 		membersChanged() {
 			const now = clock.now();
--- a/packages/node/src/node-readings.ts
+++ b/packages/node/src/node-readings.ts
@@ -36,7 +36,7 @@
 	const ledger = core?.ledger.size();
 	return {
 		isLeaving: core?.ingress()?.isLeaving() ?? false,
-		openRequests: core?.entry.open() ?? 0,
+		openRequests: core?.entry.openRequests() ?? 0,
 		peersConnected: core?.peers.count() ?? 0,
 		ledgerKeys: ledger?.keys ?? 0,
 		ledgerBytes: ledger?.answerBytes ?? 0,
--- a/packages/node/src/peers.ts
+++ b/packages/node/src/peers.ts
@@ -12,7 +12,7 @@
 	SuspectsMessage,
 } from '@egretspoke/protocol';
 import {createTicks, type Clock} from '@egretspoke/shared';
-import {notSent, type ExchangeResult} from './exchange-table.js';
+import {createUnsentResult, type ExchangeResult} from './exchange-table.js';
 import type {MessageChannel, PeerTransport} from './message-channel.js';
 import {
 	createPeerConnection,
@@ -198,7 +198,7 @@
 			// never run at the other under a false name.
 			return connection?.peer.node === peer.node
 				? connection.call(request, options, signal)
-				: notSent();
+				: createUnsentResult();
 		},
 		async probe(address, probe, signal) {
 			const connection = await connect(address);
--- a/packages/node/src/request-chain.ts
+++ b/packages/node/src/request-chain.ts
@@ -13,7 +13,7 @@
 import {err, ok, type Result} from 'neverthrow';
 import type {CallerRequest} from './caller-request.js';
 import {readOperation} from './call-facts.js';
-import type {Allotment, RunningRequests} from './running-requests.js';
+import type {ChainAllocation, RunningRequests} from './running-requests.js';
 
 /** What the configuration in force says of a request. */
 export type Classification = {
@@ -32,7 +32,7 @@
 	/** Monotonic milliseconds. */
 	deadline: number;
 	/** Present when the node's own target made the call. */
-	allotment?: Allotment;
+	allocation?: ChainAllocation;
 };
 
 /**
@@ -50,7 +50,7 @@
 	const allotment =
 		incoming.id === undefined
 			? undefined
-			: running.allot(incoming.id, {
+			: running.allocate(incoming.id, {
 					service: incoming.service,
 					operation: digestCall(incoming),
 				});
--- a/packages/node/src/running-requests.ts
+++ b/packages/node/src/running-requests.ts
@@ -41,14 +41,14 @@
  * first entry: work for a deferrable request is never raised, and a payment
  * isn't refused half-way for a look-up that counts as normal by itself.
  */
-export type Allotment = {
+export type ChainAllocation = {
 	caller: string;
 	requestClass: RequestClass;
 	deadline: number;
 	attempts: number;
 	signal: AbortSignal;
 	/** Gives back attempts that weren't used. */
-	giveBack(attempts: number): void;
+	returnUnused(attempts: number): void;
 };
 
 /** The table of running requests. */
@@ -56,10 +56,10 @@
 	add(request: RunningRequest): void;
 	remove(id: string): void;
 	/** Undefined when no such request runs here; `spent` when its attempts are. */
-	allot(
+	allocate(
 		id: string,
 		call: {service: string; operation: string},
-	): Allotment | 'spent' | undefined;
+	): ChainAllocation | 'spent' | undefined;
 	has(id: string): boolean;
 	size(): number;
 };
@@ -84,7 +84,7 @@
 				running.delete(id);
 			}
 		},
-		allot(id, call) {
+		allocate(id, call) {
 			const parent = running.get(id);
 			if (!parent) {
 				return undefined;
@@ -105,7 +105,7 @@
 				deadline: parent.deadline,
 				attempts,
 				signal: parent.end.signal,
-				giveBack(unused) {
+				returnUnused(unused) {
 					parent.spareAttempts += unused;
 				},
 			};
--- a/packages/node/src/start-node.ts
+++ b/packages/node/src/start-node.ts
@@ -109,7 +109,7 @@
 			bytesCapacity: limits.ledgerBytes,
 			maximumLifetime: limits.keyLifetime,
 		},
-		keepSuspects: suspectRows.note,
+		persistSuspects: suspectRows.note,
 		control: createCoreControl(
 			() => control,
 			(service) => core.isServed(service),
@@ -158,7 +158,7 @@
 	}
 
 	const stop = async () => {
-		const cut = core.open();
+		const cut = core.openRequests();
 		core.peers.close();
 		await Promise.all([caller.close(), admin.close(), transport.close()]);
 		await supervisor.stop();
--- a/packages/node/src/web-socket-channel.ts
+++ b/packages/node/src/web-socket-channel.ts
@@ -22,7 +22,7 @@
 };
 
 /** Milliseconds for both sides to finish the handshake: many round trips between regions. */
-export const handshakeTime = 3000;
+export const handshakeTimeoutMs = 3000;
 
 /**
  * Bytes waiting in the socket above which nothing more is sent. A peer that
@@ -74,7 +74,7 @@
 	});
 
 	let failure: HandshakeFailure = 'closed';
-	const timer = context.clock.setTimer(handshakeTime, () => {
+	const timer = context.clock.setTimer(handshakeTimeoutMs, () => {
 		failure = 'timeout';
 		socket.terminate();
 	});
