--- a/packages/faults/src/fake-node.ts
+++ b/packages/faults/src/fake-node.ts
@@ -126,7 +126,7 @@
 		random: random.fork(),
 		node: name,
 		onSuspects(suspects) {
-			core.quarantine.takeStored(suspects);
+			core.quarantine.applyStoredSuspects(suspects);
 		},
 	});
 	void control.configuration.accepted.observe(({version}) => {
--- a/packages/node/__tests__/lone-quarantine.ts
+++ b/packages/node/__tests__/lone-quarantine.ts
@@ -14,8 +14,8 @@
 		reporter: silentReporter,
 		self: 'vm-1',
 		members: () => [],
-		tell: () => undefined,
-		keep: () => undefined,
+		sendSuspects: () => undefined,
+		persistSuspects: () => undefined,
 		signal: AbortSignal.abort(),
 	});
 }
--- a/packages/node/src/entry.ts
+++ b/packages/node/src/entry.ts
@@ -134,7 +134,7 @@
 
 		const startedAt = clock.now();
 		const {request, allocation: allotment} = call.value;
-		if (context.quarantine.bars(request)) {
+		if (context.quarantine.blocks(request)) {
 			return end(incoming, refuseAsUnknown(ErrorCode.Quarantined));
 		}
 
@@ -293,7 +293,7 @@
 				return refuseAsNotRun(barred, 0);
 			}
 
-			if (context.quarantine.bars(request)) {
+			if (context.quarantine.blocks(request)) {
 				return refuseAsUnknown(ErrorCode.Quarantined);
 			}
 
--- a/packages/node/src/ingress.ts
+++ b/packages/node/src/ingress.ts
@@ -144,7 +144,7 @@
 		}
 
 		// The one before it may have been the same request.
-		const outcome = context.quarantine.bars(request)
+		const outcome = context.quarantine.blocks(request)
 			? refuseQuarantined()
 			: await runAdmitted(request, signal);
 		turn.leave();
@@ -201,7 +201,7 @@
 				return runAdmitted(request, signal);
 			}
 
-			return context.quarantine.bars(request)
+			return context.quarantine.blocks(request)
 				? refuseQuarantined()
 				: runApart(request, signal);
 		},
--- a/packages/node/src/member-directory.ts
+++ b/packages/node/src/member-directory.ts
@@ -10,7 +10,7 @@
 export type MemberDirectory = {
 	byNode(node: string): Member | undefined;
 	/** The node that announced this peer address. */
-	nodeAt(peerAddress: string): string | undefined;
+	nodeByAddress(peerAddress: string): string | undefined;
 	/** True when some member's target serves it. */
 	isServed(service: string): boolean;
 	/**
@@ -37,7 +37,7 @@
 
 	return {
 		byNode: (node) => members.get(node),
-		nodeAt: (peerAddress) => nodes.get(peerAddress),
+		nodeByAddress: (peerAddress) => nodes.get(peerAddress),
 		isServed: (service) => candidates.has(service),
 		update(current, now) {
 			members = new Map(current.map((member) => [member.node, member]));
--- a/packages/node/src/node-core.ts
+++ b/packages/node/src/node-core.ts
@@ -146,10 +146,10 @@
 		reporter,
 		self: self.node,
 		members: () => control.members(),
-		tell(address, message) {
-			void peers.tell(address, message);
+		sendSuspects(address, message) {
+			void peers.sendSuspects(address, message);
 		},
-		keep: context.persistSuspects,
+		persistSuspects: context.persistSuspects,
 		signal: supervisor.signal,
 	});
 
@@ -187,7 +187,7 @@
 		clock,
 		transport: context.transport,
 		self: self.node,
-		nodeAt: (address) => directory.nodeAt(address),
+		nodeByAddress: (address) => directory.nodeByAddress(address),
 		supervisor: supervisor.branch('peers'),
 		services: {
 			reporter,
@@ -199,8 +199,8 @@
 			},
 			probe: (message) => control.receiveProbe(message),
 			configurationBody: () => control.configurationBody(),
-			takeSuspects: quarantine.take,
-			greeting: quarantine.greeting,
+			receiveSuspects: quarantine.receiveSuspects,
+			initialMessage: quarantine.initialMessage,
 		},
 	});
 
--- a/packages/node/src/node-quarantine.ts
+++ b/packages/node/src/node-quarantine.ts
@@ -15,7 +15,7 @@
 import type {NodeReporter} from './node-reporter.js';
 
 /** The parts of a call by which it is known. */
-export type KnownCall = {
+export type CallIdentity = {
 	service: string;
 	method: string;
 	path: string;
@@ -32,23 +32,23 @@
 	members: () => readonly Member[];
 	/** This node's name. */
 	self: string;
-	tell: (address: string, message: SuspectsMessage) => void;
+	sendSuspects: (address: string, message: SuspectsMessage) => void;
 	/** Keeps suspects beyond the life of this process. */
-	keep: (suspects: Suspect[]) => void;
+	persistSuspects: (suspects: Suspect[]) => void;
 	signal: AbortSignal;
 };
 
 /** The quarantine. */
 export type NodeQuarantine = {
 	/** What is known of the call; undefined when no target crashed under it. */
-	lookUp(call: KnownCall): Suspect | undefined;
+	lookUp(call: CallIdentity): Suspect | undefined;
 	/** Whether no target is to run the call any more; tells so if it is. */
-	bars(call: KnownCall & {id: string}): boolean;
-	noteCrash(runs: CrashedRun[]): Suspect[];
-	noteAnswer(call: KnownCall): void;
-	take(message: SuspectsMessage): void;
-	takeStored(suspects: Suspect[]): void;
-	greeting(): SuspectsMessage | undefined;
+	blocks(call: CallIdentity & {id: string}): boolean;
+	recordCrash(runs: CrashedRun[]): Suspect[];
+	recordAnswer(call: CallIdentity): void;
+	receiveSuspects(message: SuspectsMessage): void;
+	applyStoredSuspects(suspects: Suspect[]): void;
+	initialMessage(): SuspectsMessage | undefined;
 };
 
 /** Members to which news of another node are passed on. */
@@ -68,7 +68,7 @@
 	const tellSome = (members: readonly Member[], suspects: Suspect[]) => {
 		const message = toMessage(suspects);
 		for (const {peerAddress} of members) {
-			options.tell(peerAddress, message);
+			options.sendSuspects(peerAddress, message);
 		}
 	};
 
@@ -80,7 +80,7 @@
 		passOn(suspects) {
 			tellSome(sample(others(), receivers, random), suspects);
 		},
-		keep: options.keep,
+		keep: options.persistSuspects,
 		onQuarantined({identity, crashes}) {
 			reporter.recordEvent({name: 'requestQuarantined', identity, crashes});
 		},
@@ -88,12 +88,12 @@
 	void createTicks(clock, expiryPeriod, signal).observe(quarantine.expire);
 	void createTicks(clock, renewalPeriod, signal).observe(quarantine.renew);
 
-	const lookUp = (call: KnownCall) =>
-		quarantine.lookUp(call.path, call.body.byteLength, () => partsOf(call));
+	const lookUp = (call: CallIdentity) =>
+		quarantine.lookUp(call.path, call.body.byteLength, () => toRequestParts(call));
 
 	return {
 		lookUp,
-		bars(call) {
+		blocks(call) {
 			const suspect = lookUp(call);
 			if (!suspect || !isQuarantined(suspect)) {
 				return false;
@@ -108,17 +108,17 @@
 			});
 			return true;
 		},
-		noteCrash: quarantine.noteCrash,
-		noteAnswer(call) {
+		recordCrash: quarantine.noteCrash,
+		recordAnswer(call) {
 			quarantine.noteAnswer(call.path, call.body.byteLength, () =>
-				partsOf(call),
+				toRequestParts(call),
 			);
 		},
-		take({suspects}) {
+		receiveSuspects({suspects}) {
 			quarantine.take(suspects.map((tuple) => toSuspect(tuple)));
 		},
-		takeStored: quarantine.take,
-		greeting() {
+		applyStoredSuspects: quarantine.take,
+		initialMessage() {
 			const suspects = quarantine.list();
 			return suspects.length === 0 ? undefined : toMessage(suspects);
 		},
@@ -126,13 +126,13 @@
 }
 
 /** The parts of a call that a repeat of it shares, whatever its id and its key. */
-export function partsOf({
+export function toRequestParts({
 	service,
 	method,
 	path,
 	caller,
 	body,
-}: KnownCall): RequestParts {
+}: CallIdentity): RequestParts {
 	return {host: service, method, path, caller, body};
 }
 
--- a/packages/node/src/peer-connection.ts
+++ b/packages/node/src/peer-connection.ts
@@ -27,9 +27,9 @@
 	probe(message: ProbeMessage): AcknowledgementMessage;
 	configurationBody(): ConfigurationBodyMessage | undefined;
 	/** Takes what a peer knows of requests that crash targets. */
-	takeSuspects(message: SuspectsMessage): void;
+	receiveSuspects(message: SuspectsMessage): void;
 	/** The same for a peer that has just been reached; undefined when there is nothing. */
-	greeting(): SuspectsMessage | undefined;
+	initialMessage(): SuspectsMessage | undefined;
 };
 
 /** A peer over an open channel. */
@@ -49,7 +49,7 @@
 	requestConfiguration(
 		signal: AbortSignal,
 	): Promise<ConfigurationBodyMessage | undefined>;
-	tell(message: SuspectsMessage): void;
+	sendSuspects(message: SuspectsMessage): void;
 	/** Serves the peer until the channel closes. */
 	serve(): Promise<void>;
 	close(reason: string): void;
@@ -143,7 +143,7 @@
 			}
 		},
 		suspects(message) {
-			services.takeSuspects(message);
+			services.receiveSuspects(message);
 		},
 	};
 
@@ -206,11 +206,11 @@
 				}
 			});
 		},
-		tell(message) {
+		sendSuspects(message) {
 			channel.send(message);
 		},
 		async serve() {
-			const greeting = services.greeting();
+			const greeting = services.initialMessage();
 			if (greeting) {
 				channel.send(greeting);
 			}
--- a/packages/node/src/peers.ts
+++ b/packages/node/src/peers.ts
@@ -43,7 +43,7 @@
 		signal: AbortSignal,
 	): Promise<ConfigurationBodyMessage | undefined>;
 	/** Tells a peer, if it can be reached. */
-	tell(address: string, message: SuspectsMessage): Promise<void>;
+	sendSuspects(address: string, message: SuspectsMessage): Promise<void>;
 	count(): number;
 	close(): void;
 };
@@ -57,7 +57,7 @@
 	services: PeerServices;
 	supervisor: Supervisor;
 	/** The node that announced this peer address. */
-	nodeAt(address: string): string | undefined;
+	nodeByAddress(address: string): string | undefined;
 };
 
 /**
@@ -149,7 +149,7 @@
 	const connect = async (
 		address: string,
 	): Promise<PeerConnection | undefined> => {
-		const node = context.nodeAt(address);
+		const node = context.nodeByAddress(address);
 		const known = node === undefined ? undefined : byNode.get(node);
 		if (known) {
 			return known.connection;
@@ -208,9 +208,9 @@
 			const connection = await connect(address);
 			return connection?.requestConfiguration(signal);
 		},
-		async tell(address, message) {
+		async sendSuspects(address, message) {
 			const connection = await connect(address);
-			connection?.tell(message);
+			connection?.sendSuspects(message);
 		},
 		count: () => byNode.size,
 		close() {
--- a/packages/node/src/start-node.ts
+++ b/packages/node/src/start-node.ts
@@ -92,7 +92,7 @@
 		random: random.fork(),
 		node,
 		onSuspects(suspects) {
-			core.quarantine.takeStored(suspects);
+			core.quarantine.applyStoredSuspects(suspects);
 		},
 	});
 	const core: NodeCore = createNodeCore({
--- a/packages/node/src/target-watch.ts
+++ b/packages/node/src/target-watch.ts
@@ -2,7 +2,7 @@
 import type {CallRequest} from '@egretspoke/protocol';
 import {createCrashWatch, identifyRequest} from '@egretspoke/quarantine';
 import type {IngressContext} from './ingress.js';
-import {partsOf} from './node-quarantine.js';
+import {toRequestParts} from './node-quarantine.js';
 import type {TargetResult} from './target-client.js';
 
 /** The watch over one target. */
@@ -37,11 +37,11 @@
 			reporter.recordEvent({name: 'targetCrashed', requests: lost});
 			const now = clock.now();
 			const crashed = runs.map(({request, startedAt}) => ({
-				identity: identifyRequest(partsOf(request)),
+				identity: identifyRequest(toRequestParts(request)),
 				startedAt,
 				crashes: 0,
 			}));
-			quarantine.noteCrash(crashed);
+			quarantine.recordCrash(crashed);
 			for (const [index, {request, startedAt}] of runs.entries()) {
 				reporter.recordDecision({
 					name: 'crashedUnder',
@@ -74,7 +74,7 @@
 			if (result.kind === 'unreachable') {
 				watch.refused();
 			} else if (result.kind === 'answer') {
-				quarantine.noteAnswer(request);
+				quarantine.recordAnswer(request);
 			}
 
 			return result;
