--- a/packages/node/__tests__/entry.spec.ts
+++ b/packages/node/__tests__/entry.spec.ts
@@ -53,7 +53,7 @@
 			const result = outcome.kind === 'answered' ? 'ok' : outcome.kind;
 			return {
 				outcome,
-				given: 1,
+				granted: 1,
 				result: {node: `vm-${sent.length}`, duration: 1, result},
 			};
 		},
@@ -73,10 +73,10 @@
 			attempts: 3,
 		}),
 		keyLifetime: 60_000,
-		possibleAge: () => age,
+		maxMessageAge: () => age,
 		priorityOf: () => undefined,
-		passToHome: async () => ({outcome: lost}),
-		refusalOf: () => undefined,
+		forwardToHome: async () => ({outcome: lost}),
+		getRefusalCode: () => undefined,
 	});
 	const ask = async (keyExpiry?: number) =>
 		entry.handle(
--- a/packages/node/__tests__/ingress.spec.ts
+++ b/packages/node/__tests__/ingress.spec.ts
@@ -52,7 +52,7 @@
 		running: createRunningRequests(),
 		reporter: silentReporter,
 		quarantine: createLoneQuarantine(clock),
-		refusalOf: () => undefined,
+		getRefusalCode: () => undefined,
 	});
 	const run = async (id: string, signal = never) => {
 		const {kind} = await ingress.run(createCall(id), signal);
--- a/packages/node/__tests__/pause-watch.spec.ts
+++ b/packages/node/__tests__/pause-watch.spec.ts
@@ -7,7 +7,7 @@
 		const clock = createVirtualClock();
 		const watch = createPauseWatch(clock, new AbortController().signal);
 		clock.advanceTo(5020);
-		expect(watch.possibleAge()).to.equal(0);
+		expect(watch.maxMessageAge()).to.equal(0);
 	});
 
 	describe('of a process that was frozen', () => {
@@ -26,19 +26,19 @@
 
 		it('knows the age when the sockets are read first', () => {
 			const {watch} = create();
-			expect(watch.possibleAge()).to.equal(2000);
+			expect(watch.maxMessageAge()).to.equal(2000);
 		});
 
 		it('knows the age when the timers fire first', () => {
 			const {real, watch} = create();
 			real.advanceTo(1050);
-			expect(watch.possibleAge()).to.equal(2050);
+			expect(watch.maxMessageAge()).to.equal(2050);
 		});
 
 		it('trusts what is read after the next tick', () => {
 			const {real, watch} = create();
 			real.advanceTo(1100);
-			expect(watch.possibleAge()).to.equal(0);
+			expect(watch.maxMessageAge()).to.equal(0);
 		});
 	});
 });
--- a/packages/node/src/announcement-handler.ts
+++ b/packages/node/src/announcement-handler.ts
@@ -7,14 +7,14 @@
 import type {NodeSettings} from './settings.js';
 
 /** Takes an announcement. A target that announces itself again unchanged, as often as it likes, changes nothing. */
-export type TakeAnnouncement = (announcement: TargetAnnouncement) => void;
+export type AnnouncementHandler = (announcement: TargetAnnouncement) => void;
 
 /** Creates the taker of one node. Without a target in the settings, announcements are ignored. */
-export function createTargetBeside(
+export function createAnnouncementHandler(
 	{target, limits}: NodeSettings,
 	core: NodeCore,
 	control: Control,
-): TakeAnnouncement {
+): AnnouncementHandler {
 	let current: TargetAnnouncement | undefined;
 	let client: ReturnType<typeof createHttpTargetClient> | undefined;
 
--- a/packages/node/src/attempt-sender.ts
+++ b/packages/node/src/attempt-sender.ts
@@ -35,7 +35,7 @@
 	/** Absent when the router refused. */
 	result?: AttemptResult;
 	/** Attempts given to the chain below. */
-	given: number;
+	granted: number;
 };
 
 /** What the sender is built from. */
@@ -72,7 +72,7 @@
 			reporter.recordDecision({name: 'routingRefused', request: request.id, reason});
 			return {
 				outcome: refuseTicket(ticket, {code, reason, retryAfter}),
-				given: 0,
+				granted: 0,
 			};
 		}
 
@@ -89,7 +89,7 @@
 					code: ErrorCode.DeadlinePassed,
 					retryAfter: 0,
 				}),
-				given: 0,
+				granted: 0,
 			};
 		}
 
@@ -105,7 +105,7 @@
 		observe(request.service, node, load);
 		const result = readResult(node, outcome, now - startedAt, signal);
 		routing.finished(facts, {...result, ...(load && {load})}, now);
-		return {outcome, result, given};
+		return {outcome, result, granted: given};
 	};
 }
 
--- a/packages/node/src/attempts.ts
+++ b/packages/node/src/attempts.ts
@@ -66,7 +66,7 @@
 			const sent = await context.send(request, attempt, options);
 			last = sent.result && {facts: attempt, result: sent.result};
 			// A definite refusal used nothing below; anything else may have used all it was given.
-			left -= sent.outcome.kind === 'notRun' ? 0 : sent.given;
+			left -= sent.outcome.kind === 'notRun' ? 0 : sent.granted;
 			return sent.outcome;
 		},
 		async retry(refusal, signal) {
--- a/packages/node/src/body-budget.ts
+++ b/packages/node/src/body-budget.ts
@@ -11,15 +11,15 @@
 /** The bytes that are still free. */
 export type BodyBudget = {
 	/** Takes bytes; false when they don't fit, and nothing is taken then. */
-	take(bytes: number): boolean;
-	give(bytes: number): void;
+	reserve(bytes: number): boolean;
+	release(bytes: number): void;
 };
 
 /** Creates a budget of that many bytes. */
 export function createBodyBudget(limit: number): BodyBudget {
 	let held = 0;
 	return {
-		take(bytes) {
+		reserve(bytes) {
 			if (held + bytes > limit) {
 				return false;
 			}
@@ -27,7 +27,7 @@
 			held += bytes;
 			return true;
 		},
-		give(bytes) {
+		release(bytes) {
 			held -= bytes;
 		},
 	};
--- a/packages/node/src/caller-listener.ts
+++ b/packages/node/src/caller-listener.ts
@@ -30,7 +30,7 @@
 	headerLimit: number;
 	connectionLimit: number;
 	/** For a whole request to arrive; a slow sender is cut off after it. */
-	requestTime: number;
+	requestTimeout: number;
 	/** Takes the announcement of the target beside the node. */
 	announce(announcement: TargetAnnouncement): void;
 };
@@ -55,9 +55,9 @@
 	const server = createServer(
 		{
 			maxHeaderSize: options.headerLimit,
-			requestTimeout: options.requestTime,
-			headersTimeout: options.requestTime,
-			connectionsCheckingInterval: Math.max(100, options.requestTime / 4),
+			requestTimeout: options.requestTimeout,
+			headersTimeout: options.requestTimeout,
+			connectionsCheckingInterval: Math.max(100, options.requestTimeout / 4),
 			keepAliveTimeout: keepAliveTime,
 		},
 		(request, response) => {
@@ -185,7 +185,7 @@
 
 	const {length} = body.value;
 	const outcome = await handle(request, body.value, options, signal);
-	budget.give(length);
+	budget.release(length);
 	return outcome;
 }
 
--- a/packages/node/src/control-subscription.ts
+++ b/packages/node/src/control-subscription.ts
@@ -5,7 +5,7 @@
 import type {NodeReporter} from './node-reporter.js';
 
 /** Keeps the router and the ingress as membership and configuration say. */
-export function followControl(
+export function subscribeToControl(
 	control: Control,
 	core: NodeCore,
 	reporter: NodeReporter,
--- a/packages/node/src/entry.ts
+++ b/packages/node/src/entry.ts
@@ -63,17 +63,17 @@
 		path: string,
 	): Classification | undefined;
 	/** Milliseconds for which a request that is read now may have waited. */
-	possibleAge(): number;
+	maxMessageAge(): number;
 	/** The priority number of a request that the node's own target runs. */
 	priorityOf(request: string): number | undefined;
 	/** Passes a request to the home of its key. */
-	passToHome(
+	forwardToHome(
 		home: Home,
 		request: CallRequest,
 		signal: AbortSignal,
 	): Promise<ExchangeResult>;
 	/** A reason for which no new request may enter here. */
-	refusalOf(): ErrorCode | undefined;
+	getRefusalCode(): ErrorCode | undefined;
 };
 
 /** The entry, for callers and for peers that pass a request to its home. */
@@ -114,7 +114,7 @@
 			return end(incoming, keys.refuse(incoming, ErrorCode.UnknownService));
 		}
 
-		const barred = context.refusalOf();
+		const barred = context.getRefusalCode();
 		if (
 			barred !== undefined &&
 			!isDeeper(incoming) &&
@@ -125,7 +125,7 @@
 
 		const call = createEntryCall(incoming, rules, running, {
 			now: clock.now(),
-			age: context.possibleAge(),
+			age: context.maxMessageAge(),
 		});
 		if (call.isErr()) {
 			const {code, retryAfter} = call.error;
@@ -247,7 +247,7 @@
 			details: {home: formatHome(home)},
 		});
 		return untilDeadline(call, caller, async () => {
-			const {outcome, isUnsent} = await context.passToHome(
+			const {outcome, isUnsent} = await context.forwardToHome(
 				home,
 				call.request,
 				caller.signal,
@@ -285,10 +285,10 @@
 
 	return {
 		async handle(incoming, signal) {
-			return idle.during(async () => handle(incoming, signal));
+			return idle.track(async () => handle(incoming, signal));
 		},
 		async handleAtHome(request, signal) {
-			const barred = context.refusalOf();
+			const barred = context.getRefusalCode();
 			if (barred !== undefined && !keys.mayHaveRunHere(request)) {
 				return refuseAsNotRun(barred, 0);
 			}
@@ -300,7 +300,7 @@
 			const deadline = clock.now() + request.timeLeft;
 			const call = {request, operation: readOperation(request), deadline};
 			const caller = createLinkedAbort(signal);
-			return idle.during(async () => handleKey(call, caller));
+			return idle.track(async () => handleKey(call, caller));
 		},
 		openRequests: idle.count,
 		whenIdle: idle.whenIdle,
--- a/packages/node/src/idle-counter.ts
+++ b/packages/node/src/idle-counter.ts
@@ -5,7 +5,7 @@
 	enter(): void;
 	leave(): void;
 	/** Counts the work while it lasts. */
-	during<T>(work: () => Promise<T>): Promise<T>;
+	track<T>(work: () => Promise<T>): Promise<T>;
 	count(): number;
 	/** Resolves when the count is nought; at once if it is so now. */
 	whenIdle(): Promise<void>;
@@ -34,7 +34,7 @@
 			inProgress++;
 		},
 		leave,
-		async during(work) {
+		async track(work) {
 			inProgress++;
 			try {
 				return await work();
--- a/packages/node/src/ingress.ts
+++ b/packages/node/src/ingress.ts
@@ -43,7 +43,7 @@
 	/** Requests under which targets crashed. */
 	quarantine: NodeQuarantine;
 	/** A reason for which nothing new may run now: a pause beyond the lease. */
-	refusalOf(): ErrorCode | undefined;
+	getRefusalCode(): ErrorCode | undefined;
 };
 
 /** The door to the target. */
@@ -79,7 +79,7 @@
 	const ended = (facts: CallFacts, completion: Completion) => {
 		idle.leave();
 		admission.finish(facts.id, completion, clock.now());
-		turns.takeTurns();
+		turns.dispatchTurns();
 	};
 
 	const dispatch = async (
@@ -92,7 +92,7 @@
 		idle.enter();
 		// A process that was frozen here wakes with its old plans; the deadline
 		// is read again so that nothing starts for a caller that has gone.
-		const late = checkLate(facts, startedAt, context.refusalOf());
+		const late = checkLate(facts, startedAt, context.getRefusalCode());
 		if (late !== undefined || signal.aborted || !ticket.handOver()) {
 			ended(facts, {duration: 0, result: 'cancelled'});
 			const code = late ?? ErrorCode.CallerGone;
@@ -125,7 +125,7 @@
 	};
 
 	const findObstacle = () =>
-		isLeaving ? ErrorCode.Leaving : context.refusalOf();
+		isLeaving ? ErrorCode.Leaving : context.getRefusalCode();
 
 	const refuseQuarantined = () =>
 		admitUnknown(createRefusal(ErrorCode.Quarantined));
--- a/packages/node/src/node-core.ts
+++ b/packages/node/src/node-core.ts
@@ -173,7 +173,7 @@
 		(message: CallMessage, signal: AbortSignal) => Promise<ExchangeResult>
 	> = {
 		run: async ({request}, signal) =>
-			fromPeers.during(async () => runHere(request, signal)),
+			fromPeers.track(async () => runHere(request, signal)),
 		async pass({request, home}, signal) {
 			const outcome =
 				home === formatHome(self)
@@ -193,7 +193,7 @@
 			reporter,
 			async call(message, signal) {
 				const {request} = message;
-				const timeLeft = request.timeLeft - pauses.possibleAge();
+				const timeLeft = request.timeLeft - pauses.maxMessageAge();
 				const aged = {...message, request: {...request, timeLeft}};
 				return handleCall[message.role](aged, signal);
 			},
@@ -228,13 +228,13 @@
 		running,
 		reporter,
 		quarantine,
-		refusalOf,
+		getRefusalCode: refusalOf,
 		keyLifetime: context.ledger.maximumLifetime,
-		possibleAge: pauses.possibleAge,
+		maxMessageAge: pauses.maxMessageAge,
 		priorityOf: (request) => chainPriority(below, request),
 		classify: (service, method, path) =>
 			control.classify(service, method, path),
-		async passToHome(home, request, signal) {
+		async forwardToHome(home, request, signal) {
 			const member = directory.byNode(home.node);
 			if (!member || home.node === self.node) {
 				return {outcome: refuseAsUnknown(ErrorCode.HomeGone)};
@@ -319,7 +319,7 @@
 			running,
 			reporter,
 			quarantine,
-			refusalOf,
+			getRefusalCode: refusalOf,
 		}),
 	};
 }
--- a/packages/node/src/node-readings.ts
+++ b/packages/node/src/node-readings.ts
@@ -4,11 +4,11 @@
 import type {NodeCore} from './node-core.js';
 
 /** The parts that are read; they come into being one after another. */
-export type ReadParts = {control?: Control; core?: NodeCore};
+export type GaugeSources = {control?: Control; core?: NodeCore};
 
 /** Reads the parts; one that isn't there yet counts as empty. */
 export function readGauges(
-	{control, core}: ReadParts,
+	{control, core}: GaugeSources,
 	logLinesDropped: number,
 ): NodeReadings {
 	return {
--- a/packages/node/src/pause-watch.ts
+++ b/packages/node/src/pause-watch.ts
@@ -14,7 +14,7 @@
 /** Watches for pauses of the process. */
 export type PauseWatch = {
 	/** Milliseconds for which what is read now may have waited; 0 in ordinary running. */
-	possibleAge(): number;
+	maxMessageAge(): number;
 };
 
 /** Milliseconds between ticks: twenty wake-ups a second are some 0.1% of a core. */
@@ -43,7 +43,7 @@
 
 	clock.setTimer(tickPeriod, tick);
 	return {
-		possibleAge() {
+		maxMessageAge() {
 			const gap = Math.max(clock.now() - lastTick, lastGap);
 			return gap > ordinaryGap ? gap : 0;
 		},
--- a/packages/node/src/request-body.ts
+++ b/packages/node/src/request-body.ts
@@ -31,7 +31,7 @@
 		const chunks: Uint8Array[] = [];
 		let length = 0;
 		const fail = (fault: BodyFault) => {
-			budget?.give(length);
+			budget?.release(length);
 			length = 0;
 			chunks.length = 0;
 			request.off('data', take).off('end', finish).off('close', cut).pause();
@@ -41,7 +41,7 @@
 		const take = (chunk: Uint8Array) => {
 			if (length + chunk.length > limit) {
 				fail('tooLarge');
-			} else if (budget?.take(chunk.length) ?? true) {
+			} else if (budget?.reserve(chunk.length) ?? true) {
 				length += chunk.length;
 				chunks.push(chunk);
 			} else {
--- a/packages/node/src/start-node.ts
+++ b/packages/node/src/start-node.ts
@@ -22,15 +22,15 @@
 import {createAdminListener} from './admin-listener.js';
 import {createAdminServices} from './admin-services.js';
 import {createCallerListener} from './caller-listener.js';
-import {followControl} from './control-subscription.js';
+import {subscribeToControl} from './control-subscription.js';
 import {createNodeCore, type CoreControl, type NodeCore} from './node-core.js';
 import {createNodeInstruments} from './node-instruments.js';
 import {formatAddress, parseAddress} from './settings-address.js';
-import {readGauges, type ReadParts} from './node-readings.js';
+import {readGauges, type GaugeSources} from './node-readings.js';
 import type {NodeReporter} from './node-reporter.js';
 import type {NodeSettings} from './settings.js';
 import {createSupervisor} from './supervisor.js';
-import {createTargetBeside} from './announcement-handler.js';
+import {createAnnouncementHandler} from './announcement-handler.js';
 import {
 	createWebSocketTransport,
 	type WebSocketTransport,
@@ -72,7 +72,7 @@
 	const startedAt = clock.date().getTime();
 	const random = createRandom(createSeed(node, startedAt));
 	const self: Home = {node, incarnation: startedAt};
-	const parts: ReadParts = {};
+	const parts: GaugeSources = {};
 	const instruments = createNodeInstruments(settings, clock, () =>
 		readGauges(parts, instruments.log.dropped()),
 	);
@@ -123,7 +123,7 @@
 		bufferLimit: limits.bufferedBodies,
 		headerLimit: limits.headers,
 		connectionLimit: limits.connections,
-		requestTime: limits.slowSender,
+		requestTimeout: limits.slowSender,
 		announce(announcement) {
 			takeTarget(announcement);
 		},
@@ -136,7 +136,7 @@
 	parts.control = control;
 	parts.core = core;
 
-	const takeTarget = createTargetBeside(settings, core, control);
+	const takeTarget = createAnnouncementHandler(settings, core, control);
 	const admin = createAdminListener({
 		services: createAdminServices({node, control, core, instruments}),
 		bodyLimit: limits.body,
@@ -146,7 +146,7 @@
 		},
 	});
 	const adminAddress = await listenOn(admin, settings.listeners.admin);
-	followControl(control, core, instruments.reporter);
+	subscribeToControl(control, core, instruments.reporter);
 	void suspectRows.run(supervisor.signal);
 	await control.start(supervisor.signal);
 	if (control.configuration.source() === 'defaults') {
--- a/packages/node/src/turn-queue.ts
+++ b/packages/node/src/turn-queue.ts
@@ -15,7 +15,7 @@
 	/** Resolves with the request's turn; a caller that gives up takes it back. */
 	wait(facts: CallFacts, signal: AbortSignal): Promise<AdmissionTurn>;
 	/** Tells every turn that is due; to be called when a slot is free. */
-	takeTurns(): void;
+	dispatchTurns(): void;
 	/** Hands back everything that waits. */
 	drain(): void;
 };
@@ -78,7 +78,7 @@
 				setWake();
 			});
 		},
-		takeTurns,
+		dispatchTurns: takeTurns,
 		drain() {
 			settleAll(admission.drain(clock.now()));
 		},
