--- a/packages/node/src/admin-listener.ts
+++ b/packages/node/src/admin-listener.ts
@@ -125,12 +125,12 @@
 ];
 
 /** Milliseconds for a whole admin request to arrive. */
-const requestTime = 10_000;
+const requestTimeoutMs = 10_000;
 
 /** Creates the listener; nothing listens until `listen`. */
 export function createAdminListener(options: AdminListenerOptions) {
 	const server = createServer(
-		{requestTimeout: requestTime, headersTimeout: requestTime},
+		{requestTimeout: requestTimeoutMs, headersTimeout: requestTimeoutMs},
 		(request, response) => {
 			void serve(request, response, options);
 		},
--- a/packages/node/src/attempt-sender.ts
+++ b/packages/node/src/attempt-sender.ts
@@ -34,7 +34,7 @@
 	outcome: Outcome;
 	/** Absent when the router refused. */
 	result?: AttemptResult;
-	/** Attempts given to the chain below. */
+	/** Attempts granted to the chain below. */
 	granted: number;
 };
 
@@ -69,7 +69,11 @@
 		const decision = routing.choose(facts, exclude, clock.now());
 		if (decision.kind === 'refuse') {
 			const {code, reason, retryAfter} = decision;
-			reporter.recordDecision({name: 'routingRefused', request: request.id, reason});
+			reporter.recordDecision({
+				name: 'routingRefused',
+				request: request.id,
+				reason,
+			});
 			return {
 				outcome: refuseTicket(ticket, {code, reason, retryAfter}),
 				granted: 0,
@@ -94,18 +98,18 @@
 		}
 
 		const startedAt = clock.now();
-		const given = Math.max(1, routing.attemptsBelow(facts));
+		const granted = Math.max(1, routing.attemptsBelow(facts));
 		routing.started(facts, node, startedAt);
 		const {outcome, load} = await context.path(
 			node,
-			{...request, attempts: given, timeLeft: facts.deadline - startedAt},
+			{...request, attempts: granted, timeLeft: facts.deadline - startedAt},
 			signal,
 		);
 		const now = clock.now();
 		observe(request.service, node, load);
 		const result = readResult(node, outcome, now - startedAt, signal);
 		routing.finished(facts, {...result, ...(load && {load})}, now);
-		return {outcome, result, granted: given};
+		return {outcome, result, granted};
 	};
 }
 
--- a/packages/node/src/attempts.ts
+++ b/packages/node/src/attempts.ts
@@ -44,9 +44,9 @@
 	const {request} = call;
 	let left = request.attempts;
 	let exclude: string[] = [];
-	let last: {facts: CallFacts; result: AttemptResult} | undefined;
+	let lastAttempt: {facts: CallFacts; result: AttemptResult} | undefined;
 
-	const facts = (): CallFacts => ({
+	const createFacts = (): CallFacts => ({
 		id: `${request.id}~${attemptNumber++}`,
 		chain: request.id,
 		service: request.service,
@@ -62,25 +62,25 @@
 	return {
 		async send(ticket, signal) {
 			const options = {exclude, ticket, signal};
-			const attempt = facts();
+			const attempt = createFacts();
 			const sent = await context.send(request, attempt, options);
-			last = sent.result && {facts: attempt, result: sent.result};
+			lastAttempt = sent.result && {facts: attempt, result: sent.result};
 			// A definite refusal used nothing below; anything else may have used all it was given.
 			left -= sent.outcome.kind === 'notRun' ? 0 : sent.granted;
 			return sent.outcome;
 		},
 		async retry(refusal, signal) {
-			if (last === undefined || signal.aborted) {
+			if (lastAttempt === undefined || signal.aborted) {
 				return refusal;
 			}
 
-			if (last.result.result === 'unknown') {
+			if (lastAttempt.result.result === 'unknown') {
 				// Its attempt is already deducted; the decision expects it included.
 				left += 1;
 			}
 
-			const tried = {...last.facts, attempts: left};
-			const decision = routing.retry(tried, last.result, clock.now());
+			const tried = {...lastAttempt.facts, attempts: left};
+			const decision = routing.retry(tried, lastAttempt.result, clock.now());
 			left -= 1;
 			reporter.recordDecision({
 				name: decision.kind === 'retry' ? 'retried' : 'retryRefused',
@@ -101,8 +101,8 @@
 			return signal.aborted ? createRefusal(ErrorCode.CallerGone) : undefined;
 		},
 		finish() {
-			const spare = Math.min(left, request.attempts - 1);
-			call.allocation?.returnUnused(Math.max(0, spare));
+			const unused = Math.min(left, request.attempts - 1);
+			call.allocation?.returnUnused(Math.max(0, unused));
 		},
 	};
 }
--- a/packages/node/src/body-budget.ts
+++ b/packages/node/src/body-budget.ts
@@ -17,18 +17,18 @@
 
 /** Creates a budget of that many bytes. */
 export function createBodyBudget(limit: number): BodyBudget {
-	let held = 0;
+	let reserved = 0;
 	return {
 		reserve(bytes) {
-			if (held + bytes > limit) {
+			if (reserved + bytes > limit) {
 				return false;
 			}
 
-			held += bytes;
+			reserved += bytes;
 			return true;
 		},
 		release(bytes) {
-			held -= bytes;
+			reserved -= bytes;
 		},
 	};
 }
--- a/packages/node/src/caller-listener.ts
+++ b/packages/node/src/caller-listener.ts
@@ -44,7 +44,7 @@
 };
 
 /** Milliseconds an idle connection is kept: longer than a client's own, so that the client closes first and no request meets a closing socket. */
-const keepAliveTime = 65_000;
+const keepAliveTimeoutMs = 65_000;
 
 /** Creates the listener; nothing listens until `listen`. */
 export function createCallerListener(
@@ -58,7 +58,7 @@
 			requestTimeout: options.requestTimeout,
 			headersTimeout: options.requestTimeout,
 			connectionsCheckingInterval: Math.max(100, options.requestTimeout / 4),
-			keepAliveTimeout: keepAliveTime,
+			keepAliveTimeout: keepAliveTimeoutMs,
 		},
 		(request, response) => {
 			if (isDraining) {
@@ -141,7 +141,7 @@
 		}
 	});
 	if (isAnnouncement(request)) {
-		await takeAnnouncement(request, response, options);
+		await receiveAnnouncement(request, response, options);
 		return;
 	}
 
@@ -149,7 +149,7 @@
 	writeOutcome(response, outcome);
 }
 
-async function takeAnnouncement(
+async function receiveAnnouncement(
 	request: IncomingMessage,
 	response: ServerResponse,
 	{announce, bodyLimit, reporter}: CallerListenerOptions,
@@ -190,13 +190,13 @@
 }
 
 /** Milliseconds after which an upload that found no room comes back: most bodies have left by then. */
-const roomDelay = 1000;
+const bufferFullRetryAfterMs = 1000;
 
 const bodyRefusals: Record<BodyFault, {code: ErrorCode; retryAfter?: number}> =
 	{
 		tooLarge: {code: ErrorCode.TooLarge},
 		cutShort: {code: ErrorCode.MalformedRequest},
-		noRoom: {code: ErrorCode.Overloaded, retryAfter: roomDelay},
+		noRoom: {code: ErrorCode.Overloaded, retryAfter: bufferFullRetryAfterMs},
 	};
 
 async function handle(
--- a/packages/node/src/caller-request-reader.ts
+++ b/packages/node/src/caller-request-reader.ts
@@ -8,7 +8,7 @@
 const identifierPattern = /^[\u0021-\u007E]{1,200}$/u;
 
 /** Headers between a caller and its node alone; the target gets its own. */
-const ownHeaders = new Set<string>([
+const callerOnlyHeaders = new Set<string>([
 	headerNames.home,
 	headerNames.keyExpiry,
 	headerNames.attempts,
@@ -45,7 +45,7 @@
 	const service = readIdentifier(headerNames.service);
 	const id = readIdentifier(headerNames.request);
 	const key = readIdentifier(headerNames.idempotencyKey);
-	const named = readIdentifier(headerNames.caller);
+	const callerName = readIdentifier(headerNames.caller);
 	const timeLeft = readNumber(headerNames.deadline);
 	const keyExpiry = readNumber(headerNames.keyExpiry);
 	const homeText = headers[headerNames.home];
@@ -66,9 +66,9 @@
 		service: service!,
 		method: request.method ?? 'GET',
 		path: request.url ?? '/',
-		headers: withoutOwn(headers),
+		headers: removeCallerOnlyHeaders(headers),
 		body,
-		caller: named ?? request.socket.remoteAddress ?? 'unknown',
+		caller: callerName ?? request.socket.remoteAddress ?? 'unknown',
 		...(id !== undefined && {id}),
 		...(key !== undefined && {key}),
 		...(timeLeft !== undefined && {timeLeft}),
@@ -88,8 +88,10 @@
 	return headers;
 }
 
-function withoutOwn(headers: Record<string, string>): Record<string, string> {
+function removeCallerOnlyHeaders(
+	headers: Record<string, string>,
+): Record<string, string> {
 	return Object.fromEntries(
-		Object.entries(headers).filter(([name]) => !ownHeaders.has(name)),
+		Object.entries(headers).filter(([name]) => !callerOnlyHeaders.has(name)),
 	);
 }
--- a/packages/node/src/control-subscription.ts
+++ b/packages/node/src/control-subscription.ts
@@ -48,7 +48,11 @@
 		);
 	});
 	void control.configuration.rejected.observe(({version, reason}) => {
-		reporter.recordEvent({name: 'configurationRefused', version, detail: reason});
+		reporter.recordEvent({
+			name: 'configurationRefused',
+			version,
+			detail: reason,
+		});
 	});
 	void control.configuration.accepted.observe(({version}) => {
 		const source = control.configuration.source();
--- a/packages/node/src/entry-keys.ts
+++ b/packages/node/src/entry-keys.ts
@@ -18,7 +18,7 @@
 import type {CallerRequest} from './caller-request.js';
 import {refuseAsNotRun, refuseAsUnknown} from './entry-refusal.js';
 
-type KeyParts = Pick<CallRequest, 'service' | 'key' | 'keyExpiry'>;
+type KeyFields = Pick<CallRequest, 'service' | 'key' | 'keyExpiry'>;
 
 /** Refusals that know about keys. */
 export type KeyRefusals = {
@@ -31,7 +31,7 @@
 	/** A repeat starts nothing new, so a node that takes no new work answers it. */
 	isRepeatHere(incoming: CallerRequest): boolean;
 	/** For a request whose key has its home here. */
-	mayHaveRunHere(request: KeyParts): boolean;
+	mayHaveRunHere(request: KeyFields): boolean;
 };
 
 /** Creates the refusals of one entry. */
@@ -39,7 +39,7 @@
 	const hasHomeHere = ({home}: CallerRequest) =>
 		home !== undefined && formatHome(home) === formatHome(self);
 
-	const mayHaveRunHere = ({service, key, keyExpiry}: KeyParts) =>
+	const mayHaveRunHere = ({service, key, keyExpiry}: KeyFields) =>
 		key !== undefined &&
 		ledger.mayHaveRun({
 			service,
@@ -50,7 +50,7 @@
 	const isRepeatHere = (incoming: CallerRequest) =>
 		hasHomeHere(incoming) && mayHaveRunHere(incoming);
 
-	const isFirst = (incoming: CallerRequest) =>
+	const isFirstAttempt = (incoming: CallerRequest) =>
 		incoming.key === undefined ||
 		incoming.home === undefined ||
 		(hasHomeHere(incoming) && !isRepeatHere(incoming));
@@ -59,7 +59,7 @@
 		mayHaveRunHere,
 		isRepeatHere,
 		refuse: (incoming, code, retryAfter) =>
-			isFirst(incoming)
+			isFirstAttempt(incoming)
 				? refuseAsNotRun(code, retryAfter)
 				: refuseAsUnknown(code, retryAfter),
 	};
--- a/packages/node/src/entry.ts
+++ b/packages/node/src/entry.ts
@@ -89,13 +89,13 @@
 type CallHandler = (call: EntryCall, caller: LinkedAbort) => Promise<Outcome>;
 
 /** Refusals whose caller is to come back with a home and an expiry. */
-const needsExpiry: ReadonlySet<ErrorCode> = new Set([
+const codesWithProposedExpiry: ReadonlySet<ErrorCode> = new Set([
 	ErrorCode.HomeRequired,
 	ErrorCode.KeyExpiryRequired,
 ]);
 
 /** Milliseconds after which a home that couldn't be reached may be. */
-const homeRetryAfter = 1000;
+const homeRetryAfterMs = 1000;
 
 /** Creates the entry of one node. */
 export function createEntry(context: EntryContext): Entry {
@@ -111,16 +111,19 @@
 		const {service, method, path} = incoming;
 		const rules = context.classify(service, method, path);
 		if (!rules) {
-			return end(incoming, keys.refuse(incoming, ErrorCode.UnknownService));
+			return recordRefusal(
+				incoming,
+				keys.refuse(incoming, ErrorCode.UnknownService),
+			);
 		}
 
-		const barred = context.getRefusalCode();
+		const refusalCode = context.getRefusalCode();
 		if (
-			barred !== undefined &&
-			!isDeeper(incoming) &&
+			refusalCode !== undefined &&
+			!isDownstreamCall(incoming) &&
 			!keys.isRepeatHere(incoming)
 		) {
-			return end(incoming, keys.refuse(incoming, barred, 0));
+			return recordRefusal(incoming, keys.refuse(incoming, refusalCode, 0));
 		}
 
 		const call = createEntryCall(incoming, rules, running, {
@@ -129,21 +132,21 @@
 		});
 		if (call.isErr()) {
 			const {code, retryAfter} = call.error;
-			return end(incoming, keys.refuse(incoming, code, retryAfter));
+			return recordRefusal(incoming, keys.refuse(incoming, code, retryAfter));
 		}
 
 		const startedAt = clock.now();
-		const {request, allocation: allotment} = call.value;
+		const {request, allocation} = call.value;
 		if (context.quarantine.blocks(request)) {
-			return end(incoming, refuseAsUnknown(ErrorCode.Quarantined));
+			return recordRefusal(incoming, refuseAsUnknown(ErrorCode.Quarantined));
 		}
 
-		const priority = allotment && context.priorityOf(request.id);
+		const priority = allocation && context.priorityOf(request.id);
 		if (priority !== undefined) {
 			request.priority = priority;
 		}
 
-		const linked = createLinkedAbort(signal, allotment?.signal);
+		const linked = createLinkedAbort(signal, allocation?.signal);
 		const outcome = await chooseHandler(incoming, call.value)(
 			call.value,
 			linked,
@@ -167,12 +170,14 @@
 
 	/** What a caller needs besides the home to send a key that it may repeat. */
 	const proposeExpiry = (outcome: Outcome): Pick<CallerOutcome, 'keyExpiry'> =>
-		outcome.kind === 'notRun' && needsExpiry.has(outcome.refusal.code)
+		outcome.kind === 'notRun' &&
+		codesWithProposedExpiry.has(outcome.refusal.code)
 			? {keyExpiry: clock.date().getTime() + context.keyLifetime}
 			: {};
 
 	/** A target's own calls go on while its node is leaving: they belong to requests in flight. */
-	const isDeeper = ({id}: CallerRequest) => id !== undefined && running.has(id);
+	const isDownstreamCall = ({id}: CallerRequest) =>
+		id !== undefined && running.has(id);
 
 	const chooseHandler = (
 		{home, key}: CallerRequest,
@@ -196,12 +201,12 @@
 	};
 
 	const handleIdempotent: CallHandler = async (call, caller) =>
-		untilDeadline(call, caller, async () =>
+		runUntilDeadline(call, caller, async () =>
 			attemptIdempotent(context, call, caller.signal),
 		);
 
 	/** At the deadline the caller counts as gone, and gets its final answer at once. */
-	const untilDeadline = async (
+	const runUntilDeadline = async (
 		call: EntryCall,
 		caller: LinkedAbort,
 		work: () => Promise<Outcome>,
@@ -246,19 +251,19 @@
 			reason: 'the key has its home elsewhere',
 			details: {home: formatHome(home)},
 		});
-		return untilDeadline(call, caller, async () => {
+		return runUntilDeadline(call, caller, async () => {
 			const {outcome, isUnsent} = await context.forwardToHome(
 				home,
 				call.request,
 				caller.signal,
 			);
 			return isUnsent
-				? refuseAsUnknown(ErrorCode.HomeUnreachable, homeRetryAfter)
+				? refuseAsUnknown(ErrorCode.HomeUnreachable, homeRetryAfterMs)
 				: outcome;
 		});
 	};
 
-	const end = (
+	const recordRefusal = (
 		incoming: CallerRequest,
 		outcome: Outcome,
 		service = incoming.service,
@@ -288,9 +293,9 @@
 			return idle.track(async () => handle(incoming, signal));
 		},
 		async handleAtHome(request, signal) {
-			const barred = context.getRefusalCode();
-			if (barred !== undefined && !keys.mayHaveRunHere(request)) {
-				return refuseAsNotRun(barred, 0);
+			const refusalCode = context.getRefusalCode();
+			if (refusalCode !== undefined && !keys.mayHaveRunHere(request)) {
+				return refuseAsNotRun(refusalCode, 0);
 			}
 
 			if (context.quarantine.blocks(request)) {
--- a/packages/node/src/ingress.ts
+++ b/packages/node/src/ingress.ts
@@ -64,7 +64,7 @@
 };
 
 /** Milliseconds after which a caller refused by a leaving or paused node comes back: another target serves it at once. */
-const elsewhereDelay = 0;
+const leavingRetryAfterMs = 0;
 
 /** Creates the ingress of one target. */
 export function createIngress(context: IngressContext): Ingress {
@@ -72,11 +72,11 @@
 	const turns = createTurnQueue(clock, admission);
 	const idle = createIdleCounter();
 	const watch = createTargetWatch(context, () => isLeaving);
-	const isolated = createIsolatedTurns();
+	const isolatedTurns = createIsolatedTurns();
 	let attempts = 0;
 	let isLeaving = false;
 
-	const ended = (facts: CallFacts, completion: Completion) => {
+	const complete = (facts: CallFacts, completion: Completion) => {
 		idle.leave();
 		admission.finish(facts.id, completion, clock.now());
 		turns.dispatchTurns();
@@ -92,10 +92,14 @@
 		idle.enter();
 		// A process that was frozen here wakes with its old plans; the deadline
 		// is read again so that nothing starts for a caller that has gone.
-		const late = checkLate(facts, startedAt, context.getRefusalCode());
-		if (late !== undefined || signal.aborted || !ticket.handOver()) {
-			ended(facts, {duration: 0, result: 'cancelled'});
-			const code = late ?? ErrorCode.CallerGone;
+		const refusalCode = findLateRefusal(
+			facts,
+			startedAt,
+			context.getRefusalCode(),
+		);
+		if (refusalCode !== undefined || signal.aborted || !ticket.handOver()) {
+			complete(facts, {duration: 0, result: 'cancelled'});
+			const code = refusalCode ?? ErrorCode.CallerGone;
 			return refuseTicket(ticket, {code, retryAfter: 0});
 		}
 
@@ -120,22 +124,22 @@
 			reason: result.kind,
 			details: {duration},
 		});
-		ended(facts, {duration, result: readCompletion(result, signal)});
+		complete(facts, {duration, result: readCompletion(result, signal)});
 		return readOutcome(result, admission.report(clock.now()));
 	};
 
-	const findObstacle = () =>
+	const findRefusal = () =>
 		isLeaving ? ErrorCode.Leaving : context.getRefusalCode();
 
 	const refuseQuarantined = () =>
 		admitUnknown(createRefusal(ErrorCode.Quarantined));
 
 	/** One of those that may crash the target runs at a time. */
-	const runApart = async (
+	const runIsolated = async (
 		request: CallRequest,
 		signal: AbortSignal,
 	): Promise<Outcome> => {
-		const turn = await isolated.enter(signal);
+		const turn = await isolatedTurns.enter(signal);
 		if (!turn) {
 			return refuseTicket(createHandOverTicket(), {
 				code: ErrorCode.CallerGone,
@@ -158,19 +162,22 @@
 			...readFacts(request, now),
 			id: `${request.id}#${attempts++}`,
 		};
-		const barred = signal.aborted ? ErrorCode.CallerGone : findObstacle();
-		if (barred !== undefined) {
+		const refusalCode = signal.aborted ? ErrorCode.CallerGone : findRefusal();
+		if (refusalCode !== undefined) {
 			reporter.recordDecision({
 				name: 'admissionRefused',
 				request: request.id,
-				reason: ErrorCode[barred],
+				reason: ErrorCode[refusalCode],
+			});
+			return refuseTicket(ticket, {
+				code: refusalCode,
+				retryAfter: leavingRetryAfterMs,
 			});
-			return refuseTicket(ticket, {code: barred, retryAfter: elsewhereDelay});
 		}
 
 		const decision = admission.arrive(facts, now);
 		reporter.recordDecision({
-			name: admissionNames[decision.kind],
+			name: admissionEvents[decision.kind],
 			request: request.id,
 			reason: decision.reason,
 		});
@@ -190,7 +197,7 @@
 			}
 		}
 
-		reporter.recordWait(request.service, clock.now() - now);
+		reporter.waited(request.service, clock.now() - now);
 		return dispatch(request, facts, ticket, signal);
 	};
 
@@ -203,7 +210,7 @@
 
 			return context.quarantine.blocks(request)
 				? refuseQuarantined()
-				: runApart(request, signal);
+				: runIsolated(request, signal);
 		},
 		leave() {
 			isLeaving = true;
@@ -219,16 +226,16 @@
 	};
 }
 
-const admissionNames = {
+const admissionEvents = {
 	dispatch: 'admitted',
 	wait: 'queued',
 	refuse: 'admissionRefused',
 } as const;
 
-function checkLate(
+function findLateRefusal(
 	facts: CallFacts,
 	now: number,
-	barred: ErrorCode | undefined,
+	refusalCode: ErrorCode | undefined,
 ): ErrorCode | undefined {
-	return facts.deadline <= now ? ErrorCode.DeadlinePassed : barred;
+	return facts.deadline <= now ? ErrorCode.DeadlinePassed : refusalCode;
 }
--- a/packages/node/src/isolated-turns.ts
+++ b/packages/node/src/isolated-turns.ts
@@ -10,13 +10,13 @@
 	enter(signal: AbortSignal): Promise<IsolatedTurn | undefined>;
 };
 
-type Waiting = {wake: () => void};
+type Waiter = {wake: () => void};
 
 /** Creates the turns; the first is free. */
 export function createIsolatedTurns(): IsolatedTurns {
-	const isolation = createIsolation<Waiting>();
+	const isolation = createIsolation<Waiter>();
 
-	const leave = (item: Waiting) => {
+	const leave = (item: Waiter) => {
 		const next = isolation.leave(item);
 		if (next) {
 			isolation.enter(next);
@@ -32,22 +32,22 @@
 						leave(item);
 					},
 				};
-				const giveUp = () => {
+				const onAbort = () => {
 					if (isolation.withdraw(item)) {
 						resolve(undefined);
 					}
 				};
 
-				const item: Waiting = {
+				const item: Waiter = {
 					wake() {
-						signal.removeEventListener('abort', giveUp);
+						signal.removeEventListener('abort', onAbort);
 						resolve(turn);
 					},
 				};
 				if (isolation.enter(item)) {
 					resolve(turn);
 				} else {
-					signal.addEventListener('abort', giveUp);
+					signal.addEventListener('abort', onAbort);
 				}
 			}),
 	};
--- a/packages/node/src/linked-abort.ts
+++ b/packages/node/src/linked-abort.ts
@@ -9,7 +9,7 @@
 };
 
 /** Without a reason of its own, each abort would build an exception with its stack. */
-const callerGone = 'caller gone';
+const abortReason = 'caller gone';
 
 /** Creates an abort linked to the sources that are present. */
 export function createLinkedAbort(
@@ -17,7 +17,7 @@
 ): LinkedAbort {
 	const controller = new AbortController();
 	const abort = () => {
-		controller.abort(callerGone);
+		controller.abort(abortReason);
 	};
 
 	for (const source of sources) {
--- a/packages/node/src/member-directory.ts
+++ b/packages/node/src/member-directory.ts
@@ -57,11 +57,13 @@
 				}
 			}
 
-			const vanished = [...candidates.keys()].filter((each) => !next.has(each));
+			const removedServices = [...candidates.keys()].filter(
+				(each) => !next.has(each),
+			);
 			firstSeen = seen;
 			candidates = next;
 			const changed = new Map(next);
-			for (const service of vanished) {
+			for (const service of removedServices) {
 				changed.set(service, []);
 			}
 
--- a/packages/node/src/message-queue.ts
+++ b/packages/node/src/message-queue.ts
@@ -15,12 +15,12 @@
 	let isEnded = false;
 	let wake: (() => void) | undefined;
 
-	const signal = () => {
+	const wakeReader = () => {
 		wake?.();
 		wake = undefined;
 	};
 
-	const nextSignal = async () =>
+	const waitForWake = async () =>
 		new Promise<void>((resolve) => {
 			wake = resolve;
 		});
@@ -29,12 +29,12 @@
 		push(value) {
 			if (!isEnded) {
 				values.push(value);
-				signal();
+				wakeReader();
 			}
 		},
 		end() {
 			isEnded = true;
-			signal();
+			wakeReader();
 		},
 		async *read() {
 			for (;;) {
@@ -50,7 +50,7 @@
 				}
 
 				// eslint-disable-next-line no-await-in-loop -- waits for the next value.
-				await nextSignal();
+				await waitForWake();
 			}
 		},
 		length: () => values.length,
--- a/packages/node/src/node-core.ts
+++ b/packages/node/src/node-core.ts
@@ -132,7 +132,7 @@
 	});
 	let isDraining = false;
 
-	const refusalOf = (): ErrorCode | undefined => {
+	const getRefusalCode = (): ErrorCode | undefined => {
 		if (isDraining) {
 			return ErrorCode.Leaving;
 		}
@@ -154,9 +154,9 @@
 	});
 
 	let ingress: TargetIngress | undefined;
-	const fromPeers = createIdleCounter();
+	const peerRequests = createIdleCounter();
 
-	const runHere = async (
+	const runLocally = async (
 		request: CallRequest,
 		signal: AbortSignal,
 	): Promise<ExchangeResult> => {
@@ -173,7 +173,7 @@
 		(message: CallMessage, signal: AbortSignal) => Promise<ExchangeResult>
 	> = {
 		run: async ({request}, signal) =>
-			fromPeers.track(async () => runHere(request, signal)),
+			peerRequests.track(async () => runLocally(request, signal)),
 		async pass({request, home}, signal) {
 			const outcome =
 				home === formatHome(self)
@@ -211,7 +211,7 @@
 		async path(node, request, signal) {
 			const member = directory.byNode(node);
 			if (node === self.node || !member) {
-				return runHere(request, signal);
+				return runLocally(request, signal);
 			}
 
 			return peers.call(member, request, {role: 'run'}, signal);
@@ -228,7 +228,7 @@
 		running,
 		reporter,
 		quarantine,
-		getRefusalCode: refusalOf,
+		getRefusalCode,
 		keyLifetime: context.ledger.maximumLifetime,
 		maxMessageAge: pauses.maxMessageAge,
 		priorityOf: (request) => chainPriority(below, request),
@@ -255,13 +255,13 @@
 				running,
 				below,
 				quarantine,
-				refusalOf,
+				getRefusalCode,
 			});
 		},
 		peers,
 		ledger,
 		quarantine,
-		openRequests: () => entry.openRequests() + fromPeers.count(),
+		openRequests: () => entry.openRequests() + peerRequests.count(),
 		isServed: (service) => directory.isServed(service),
 		membersChanged() {
 			const now = clock.now();
@@ -282,7 +282,7 @@
 		async drain() {
 			isDraining = true;
 			ingress?.leave();
-			await fromPeers.whenIdle();
+			await peerRequests.whenIdle();
 			await entry.whenIdle();
 		},
 	};
@@ -294,13 +294,13 @@
 	running: RunningRequests;
 	below: LevelsBelow;
 	quarantine: NodeQuarantine;
-	refusalOf: () => ErrorCode | undefined;
+	getRefusalCode: () => ErrorCode | undefined;
 };
 
 function createTargetIngress(
 	{clock, dataCentre, policy, random, reporter}: NodeCoreContext,
 	{announcement, client}: CoreTarget,
-	{running, below, quarantine, refusalOf}: IngressParts,
+	{running, below, quarantine, getRefusalCode}: IngressParts,
 ): TargetIngress {
 	const admission: AdmissionPolicy = policy.createAdmission({
 		below,
@@ -319,7 +319,7 @@
 			running,
 			reporter,
 			quarantine,
-			getRefusalCode: refusalOf,
+			getRefusalCode,
 		}),
 	};
 }
--- a/packages/node/src/node-quarantine.ts
+++ b/packages/node/src/node-quarantine.ts
@@ -52,7 +52,7 @@
 };
 
 /** Members to which news of another node are passed on. */
-const receivers = 6;
+const gossipFanout = 6;
 
 /** Creates the quarantine of a node that has heard of nothing. */
 export function createNodeQuarantine(
@@ -65,7 +65,7 @@
 			.members()
 			.filter(({node, state}) => node !== options.self && state !== 'gone');
 
-	const tellSome = (members: readonly Member[], suspects: Suspect[]) => {
+	const sendToAll = (members: readonly Member[], suspects: Suspect[]) => {
 		const message = toMessage(suspects);
 		for (const {peerAddress} of members) {
 			options.sendSuspects(peerAddress, message);
@@ -75,10 +75,10 @@
 	const quarantine = createQuarantine({
 		clock,
 		spread(suspects) {
-			tellSome(others(), suspects);
+			sendToAll(others(), suspects);
 		},
 		passOn(suspects) {
-			tellSome(sample(others(), receivers, random), suspects);
+			sendToAll(sample(others(), gossipFanout, random), suspects);
 		},
 		keep: options.persistSuspects,
 		onQuarantined({identity, crashes}) {
@@ -89,7 +89,9 @@
 	void createTicks(clock, renewalPeriod, signal).observe(quarantine.renew);
 
 	const lookUp = (call: CallIdentity) =>
-		quarantine.lookUp(call.path, call.body.byteLength, () => toRequestParts(call));
+		quarantine.lookUp(call.path, call.body.byteLength, () =>
+			toRequestParts(call),
+		);
 
 	return {
 		lookUp,
--- a/packages/node/src/node-reporter.ts
+++ b/packages/node/src/node-reporter.ts
@@ -65,10 +65,10 @@
 /** Where the core reports; none of its functions may block or throw. */
 export type NodeReporter = {
 	recordDecision(decision: Decision): void;
-	recordEvent(notice: NodeEvent): void;
+	recordEvent(event: NodeEvent): void;
 	recordRequestEnd(end: RequestEnd): void;
 	/** Milliseconds that a dispatched request had waited. */
-	recordWait(service: string, delay: number): void;
+	waited(service: string, delay: number): void;
 };
 
 /** A reporter that keeps nothing. */
@@ -76,5 +76,5 @@
 	recordDecision: () => undefined,
 	recordEvent: () => undefined,
 	recordRequestEnd: () => undefined,
-	recordWait: () => undefined,
+	waited: () => undefined,
 };
--- a/packages/node/src/observing-reporter.ts
+++ b/packages/node/src/observing-reporter.ts
@@ -22,14 +22,14 @@
 	clock: Clock;
 };
 
-type CountNotice<Name extends NodeEvent['name']> = (
+type CountEvent<Name extends NodeEvent['name']> = (
 	metrics: Metrics,
-	notice: Extract<NodeEvent, {name: Name}>,
+	event: Extract<NodeEvent, {name: Name}>,
 ) => void;
 
 /** The notices that are counted besides being logged. */
-const noticeCounters: {
-	[Name in NodeEvent['name']]?: CountNotice<Name>;
+const eventCounters: {
+	[Name in NodeEvent['name']]?: CountEvent<Name>;
 } = {
 	lateAnswer(metrics) {
 		metrics.lateAnswer();
@@ -73,24 +73,24 @@
 	options: ObservingReporterOptions,
 ): NodeReporter {
 	const {log, metrics, memory, clock} = options;
-	const decide = (decision: Decision) => {
+	const recordDecision = (decision: Decision) => {
 		memory.remember({...decision, at: clock.date().getTime()});
 		log.record(decision.name, decision);
 		decisionCounters[decision.name]?.(metrics, decision.service ?? '');
 	};
 
 	return {
-		recordDecision: decide,
-		recordEvent(notice) {
-			const {name, reason, ...details} = {reason: undefined, ...notice};
+		recordDecision,
+		recordEvent(event) {
+			const {name, reason, ...details} = {reason: undefined, ...event};
 			log.record(name, {details, ...(reason !== undefined && {reason})});
-			const count = noticeCounters[name] as
-				CountNotice<NodeEvent['name']> | undefined;
-			count?.(metrics, notice);
+			const count = eventCounters[name] as
+				CountEvent<NodeEvent['name']> | undefined;
+			count?.(metrics, event);
 		},
 		recordRequestEnd({outcome, request, ...end}) {
 			if (end.role === 'entry') {
-				decide({
+				recordDecision({
 					name: 'requestEnded',
 					request,
 					reason:
@@ -109,7 +109,7 @@
 				}),
 			});
 		},
-		recordWait(service, delay) {
+		waited(service, delay) {
 			metrics.waited(service, delay);
 		},
 	};
--- a/packages/node/src/pause-watch.ts
+++ b/packages/node/src/pause-watch.ts
@@ -18,9 +18,9 @@
 };
 
 /** Milliseconds between ticks: twenty wake-ups a second are some 0.1% of a core. */
-const tickPeriod = 50;
+const tickInterval = 50;
 /** A gap up to this is an ordinary delay of timers. */
-const ordinaryGap = 3 * tickPeriod;
+const maxNormalGap = 3 * tickInterval;
 
 /** Starts the watch; it ends with the signal. */
 export function createPauseWatch(
@@ -38,14 +38,14 @@
 
 		lastGap = clock.now() - lastTick;
 		lastTick = clock.now();
-		clock.setTimer(tickPeriod, tick);
+		clock.setTimer(tickInterval, tick);
 	};
 
-	clock.setTimer(tickPeriod, tick);
+	clock.setTimer(tickInterval, tick);
 	return {
 		maxMessageAge() {
 			const gap = Math.max(clock.now() - lastTick, lastGap);
-			return gap > ordinaryGap ? gap : 0;
+			return gap > maxNormalGap ? gap : 0;
 		},
 	};
 }
--- a/packages/node/src/peer-connection.ts
+++ b/packages/node/src/peer-connection.ts
@@ -172,16 +172,16 @@
 			return new Promise((resolve) => {
 				const settle = (message: AcknowledgementMessage | undefined) => {
 					probes.delete(number);
-					signal.removeEventListener('abort', giveUp);
+					signal.removeEventListener('abort', onAbort);
 					resolve(message);
 				};
 
-				const giveUp = () => {
+				const onAbort = () => {
 					settle(undefined);
 				};
 
 				probes.set(number, settle);
-				signal.addEventListener('abort', giveUp);
+				signal.addEventListener('abort', onAbort);
 				if (!channel.send({type: 'probe', sequence: number, ...probe})) {
 					settle(undefined);
 				}
@@ -191,16 +191,16 @@
 			return new Promise((resolve) => {
 				const settle = (message: ConfigurationBodyMessage | undefined) => {
 					bodyWaiters.delete(settle);
-					signal.removeEventListener('abort', giveUp);
+					signal.removeEventListener('abort', onAbort);
 					resolve(message);
 				};
 
-				const giveUp = () => {
+				const onAbort = () => {
 					settle(undefined);
 				};
 
 				bodyWaiters.add(settle);
-				signal.addEventListener('abort', giveUp);
+				signal.addEventListener('abort', onAbort);
 				if (!channel.send({type: 'configurationRequest'})) {
 					settle(undefined);
 				}
@@ -210,9 +210,9 @@
 			channel.send(message);
 		},
 		async serve() {
-			const greeting = services.initialMessage();
-			if (greeting) {
-				channel.send(greeting);
+			const initialMessage = services.initialMessage();
+			if (initialMessage) {
+				channel.send(initialMessage);
 			}
 
 			try {
--- a/packages/node/src/peers.ts
+++ b/packages/node/src/peers.ts
@@ -65,7 +65,7 @@
  * unreachable without another try. Without it each request to a dead VM pays a
  * connect of its own until membership has noticed.
  */
-const reconnectDelay = 200;
+const reconnectCooldown = 200;
 
 /**
  * Milliseconds without an exchange after which a connection is closed. Every
@@ -73,7 +73,7 @@
  * keep N connections and their buffers for good.
  */
 const idleTime = 300_000;
-const idleCheckPeriod = 30_000;
+const idleCheckInterval = 30_000;
 
 type OpenPeer = {
 	connection: PeerConnection;
@@ -113,13 +113,13 @@
 				await connection.serve();
 			} finally {
 				signal.removeEventListener('abort', close);
-				forget(open, node);
+				removeConnection(open, node);
 			}
 		});
 		return connection;
 	};
 
-	const forget = (open: OpenPeer, node: string) => {
+	const removeConnection = (open: OpenPeer, node: string) => {
 		all.delete(open);
 		if (byNode.get(node) === open) {
 			byNode.delete(node);
@@ -156,7 +156,7 @@
 		}
 
 		const failed = failedAt.get(address);
-		if (failed !== undefined && clock.now() - failed < reconnectDelay) {
+		if (failed !== undefined && clock.now() - failed < reconnectCooldown) {
 			return undefined;
 		}
 
@@ -186,7 +186,7 @@
 	transport.accept((channel) => {
 		serve(channel, false);
 	});
-	void createTicks(clock, idleCheckPeriod, supervisor.signal).observe(
+	void createTicks(clock, idleCheckInterval, supervisor.signal).observe(
 		closeIdle,
 	);
 
--- a/packages/node/src/request-body.ts
+++ b/packages/node/src/request-body.ts
@@ -18,12 +18,12 @@
 	limit: number,
 	budget?: BodyBudget,
 ): Promise<Result<Uint8Array, BodyFault>> {
-	const announced = request.headers['content-length'];
-	if (announced === undefined && !request.headers['transfer-encoding']) {
+	const contentLength = request.headers['content-length'];
+	if (contentLength === undefined && !request.headers['transfer-encoding']) {
 		return ok(empty);
 	}
 
-	if (Number(announced ?? 0) > limit) {
+	if (Number(contentLength ?? 0) > limit) {
 		return err('tooLarge');
 	}
 
@@ -34,11 +34,11 @@
 			budget?.release(length);
 			length = 0;
 			chunks.length = 0;
-			request.off('data', take).off('end', finish).off('close', cut).pause();
+			request.off('data', onData).off('end', finish).off('close', cut).pause();
 			resolve(err(fault));
 		};
 
-		const take = (chunk: Uint8Array) => {
+		const onData = (chunk: Uint8Array) => {
 			if (length + chunk.length > limit) {
 				fail('tooLarge');
 			} else if (budget?.reserve(chunk.length) ?? true) {
@@ -58,7 +58,7 @@
 			fail('cutShort');
 		};
 
-		request.on('data', take).on('end', finish).on('close', cut);
+		request.on('data', onData).on('end', finish).on('close', cut);
 		// The close that follows an error tells of it.
 		request.on('error', () => undefined);
 	});
--- a/packages/node/src/request-chain.ts
+++ b/packages/node/src/request-chain.ts
@@ -47,21 +47,21 @@
 ): Result<EntryCall, Refusal> {
 	const arrivedAt = now - age;
 	const operation = readOperation(incoming);
-	const allotment =
+	const allocation =
 		incoming.id === undefined
 			? undefined
 			: running.allocate(incoming.id, {
 					service: incoming.service,
 					operation: digestCall(incoming),
 				});
-	if (allotment === 'spent') {
+	if (allocation === 'spent') {
 		return err(createRefusal(ErrorCode.AttemptsSpent));
 	}
 
 	const timeLeft = Math.min(
 		incoming.timeLeft ?? rules.deadline,
 		rules.deadline,
-		(allotment?.deadline ?? Number.POSITIVE_INFINITY) - arrivedAt,
+		(allocation?.deadline ?? Number.POSITIVE_INFINITY) - arrivedAt,
 	);
 	const deadline = arrivedAt + timeLeft;
 	if (deadline <= now) {
@@ -72,7 +72,7 @@
 	return ok({
 		operation,
 		deadline,
-		...(allotment && {allotment}),
+		...(allocation && {allocation}),
 		request: {
 			id: incoming.id ?? randomUUID(),
 			service,
@@ -80,10 +80,10 @@
 			path,
 			headers,
 			body,
-			caller: allotment?.caller ?? incoming.caller,
+			caller: allocation?.caller ?? incoming.caller,
 			timeLeft: deadline - now,
-			requestClass: allotment?.requestClass ?? rules.requestClass,
-			attempts: allotment?.attempts ?? rules.attempts,
+			requestClass: allocation?.requestClass ?? rules.requestClass,
+			attempts: allocation?.attempts ?? rules.attempts,
 			idempotent: rules.idempotent,
 			...(key !== undefined && {key}),
 			...(keyExpiry !== undefined && {keyExpiry}),
--- a/packages/node/src/running-requests.ts
+++ b/packages/node/src/running-requests.ts
@@ -29,11 +29,11 @@
 };
 
 /** A running request with what its deeper calls share. */
-type Running = RunningRequest & {
+type SharedRun = RunningRequest & {
 	/** A chain that comes back to its own service runs here more than once at a time. */
 	count: number;
 	/** Made with the first deeper call: most requests make none. */
-	end?: LinkedAbort;
+	downstreamAbort?: LinkedAbort;
 };
 
 /**
@@ -66,7 +66,7 @@
 
 /** Creates an empty table. */
 export function createRunningRequests(): RunningRequests {
-	const running = new Map<string, Running>();
+	const running = new Map<string, SharedRun>();
 	return {
 		add(request) {
 			const known = running.get(request.id);
@@ -79,8 +79,8 @@
 		remove(id) {
 			const known = running.get(id);
 			if (known && --known.count === 0) {
-				known.end?.abort();
-				known.end?.release();
+				known.downstreamAbort?.abort();
+				known.downstreamAbort?.release();
 				running.delete(id);
 			}
 		},
@@ -90,8 +90,8 @@
 				return undefined;
 			}
 
-			parent.end ??= createLinkedAbort(parent.signal);
-			const attempts = takeAttempts(
+			parent.downstreamAbort ??= createLinkedAbort(parent.signal);
+			const attempts = allocateAttempts(
 				parent,
 				`${call.service} ${call.operation}`,
 			);
@@ -104,7 +104,7 @@
 				requestClass: parent.requestClass,
 				deadline: parent.deadline,
 				attempts,
-				signal: parent.end.signal,
+				signal: parent.downstreamAbort.signal,
 				returnUnused(unused) {
 					parent.spareAttempts += unused;
 				},
@@ -120,7 +120,7 @@
  * retries by itself makes, pays from the pool like any other retry. Half of
  * what is left goes with the call, so that its siblings have some too.
  */
-function takeAttempts(parent: RunningRequest, operation: string): number {
+function allocateAttempts(parent: RunningRequest, operation: string): number {
 	const made = parent.callsMade.get(operation) ?? 0;
 	parent.callsMade.set(operation, made + 1);
 	if (made > 0) {
--- a/packages/node/src/settings-address.ts
+++ b/packages/node/src/settings-address.ts
@@ -5,7 +5,7 @@
 /** An address in its parts; port 0 lets the system choose a free one. */
 export type Address = {host: string; port: number};
 
-const highestPort = 65_535;
+const maxPort = 65_535;
 const addressPattern =
 	/^(?:\[(?<bracketed>[^\]]+)\]|(?<plain>[^:]+)):(?<port>\d{1,5})$/u;
 
@@ -19,9 +19,7 @@
 	const host = groups.bracketed ?? groups.plain ?? '';
 	const family = groups.bracketed ? 6 : 4;
 	const port = Number(groups.port);
-	return isIP(host) === family && port <= highestPort
-		? {host, port}
-		: undefined;
+	return isIP(host) === family && port <= maxPort ? {host, port} : undefined;
 }
 
 /** The text that `parseAddress` reads. */
--- a/packages/node/src/settings-check.ts
+++ b/packages/node/src/settings-check.ts
@@ -6,7 +6,7 @@
 import {parseAddress, type Address} from './settings-address.js';
 
 type Listener = 'caller' | 'peer' | 'admin';
-type Placed = {path: string[]; address: Address};
+type LocatedAddress = {path: string[]; address: Address};
 
 const wildcardHosts = new Set(['0.0.0.0', '::']);
 
@@ -17,7 +17,7 @@
 ): DocumentIssue[] {
 	const listeners = listAddresses(value, defaults);
 	return [
-		...checkClashes([...listeners, ...listTarget(value)]),
+		...checkConflicts([...listeners, ...listTarget(value)]),
 		...checkAdvertised(value, listeners),
 		...checkSecrets(value, listeners),
 		...checkTimings(value),
@@ -29,11 +29,11 @@
  * one's address in use. A target on a listener's port would make the node send
  * its requests to itself.
  */
-function checkClashes(placed: Placed[]): DocumentIssue[] {
+function checkConflicts(placed: LocatedAddress[]): DocumentIssue[] {
 	return placed.flatMap((each, index) => {
 		const other = placed
 			.slice(0, index)
-			.find(({address}) => isClash(address, each.address));
+			.find(({address}) => isConflict(address, each.address));
 		return other
 			? [
 					{
@@ -48,7 +48,10 @@
 }
 
 /** Peers that are told 0.0.0.0 would connect to themselves. */
-function checkAdvertised(value: unknown, listeners: Placed[]): DocumentIssue[] {
+function checkAdvertised(
+	value: unknown,
+	listeners: LocatedAddress[],
+): DocumentIssue[] {
 	return listeners
 		.filter(
 			({path, address}) =>
@@ -64,21 +67,24 @@
 }
 
 /** Without a secret, whoever reaches the listener could act as peer or operator. */
-function checkSecrets(value: unknown, listeners: Placed[]): DocumentIssue[] {
-	const owners: Partial<Record<string, string>> = {
+function checkSecrets(
+	value: unknown,
+	listeners: LocatedAddress[],
+): DocumentIssue[] {
+	const secretNames: Partial<Record<string, string>> = {
 		peer: 'peer',
 		admin: 'operator',
 	};
 	return listeners.flatMap(({path, address}) => {
-		const owner = owners[path[1]!];
-		return owner &&
+		const secretName = secretNames[path[1]!];
+		return secretName &&
 			!isLoopback(address.host) &&
-			textAt(value, ['secrets', owner]) === undefined
+			textAt(value, ['secrets', secretName]) === undefined
 			? [
 					{
 						path,
 						message: 'is open to other VMs without a secret',
-						advice: `expected secrets.${owner}, or a loopback address`,
+						advice: `expected secrets.${secretName}, or a loopback address`,
 					},
 				]
 			: [];
@@ -103,7 +109,7 @@
 function listAddresses(
 	value: unknown,
 	defaults: Record<Listener, string>,
-): Placed[] {
+): LocatedAddress[] {
 	return Object.entries(defaults).flatMap(([listener, fallback]) => {
 		const path = ['listeners', listener];
 		const address = parseAddress(textAt(value, path) ?? fallback);
@@ -111,13 +117,13 @@
 	});
 }
 
-function listTarget(value: unknown): Placed[] {
+function listTarget(value: unknown): LocatedAddress[] {
 	const path = ['target', 'address'];
 	const address = parseAddress(textAt(value, path) ?? '');
 	return address ? [{path, address}] : [];
 }
 
-function isClash(left: Address, right: Address): boolean {
+function isConflict(left: Address, right: Address): boolean {
 	const isSameHost =
 		left.host === right.host ||
 		wildcardHosts.has(left.host) ||
--- a/packages/node/src/settings.ts
+++ b/packages/node/src/settings.ts
@@ -18,7 +18,7 @@
 const minute = 60 * second;
 const kilobyte = 1024;
 const megabyte = 1024 * kilobyte;
-const shortestSecret = 16;
+const minSecretLength = 16;
 
 /** The listeners of a node that names none: loopback, three ports in a row. */
 export const defaultListeners = {
@@ -33,7 +33,7 @@
 		/^[A-Za-z\d][A-Za-z\d._-]{0,99}$/u,
 		'expected letters, digits, dots, hyphens or underscores, 100 at most, a letter or digit first',
 	);
-const secret = z.string().min(shortestSecret);
+const secret = z.string().min(minSecretLength);
 const count = z.int().min(1);
 const duration = createDurationSchema({least: '1ms', most: '24h'});
 const webAddress = z.url({
--- a/packages/node/src/start-node.ts
+++ b/packages/node/src/start-node.ts
@@ -38,7 +38,7 @@
 
 /** A node that serves. */
 export type RunningNode = {
-	/** The addresses that its listeners got, `ip:port`. */
+	/** The addresses that its listeners boundPort, `ip:port`. */
 	addresses: {caller: string; peer: string; admin: string};
 	/** A planned stop: resolves with the number of requests that were cut. */
 	drain(): Promise<number>;
@@ -53,10 +53,10 @@
 };
 
 /** Bytes that a message may have beyond its body: headers and its envelope. */
-const envelopeSize = 256 * 1024;
+const envelopeLimit = 256 * 1024;
 /** Peers that may shake hands at once: a data centre's worth after a restart. */
 const handshakeLimit = 128;
-const wildcardPort = 0;
+const anyFreePort = 0;
 
 /**
  * Starts a node. It rejects with Node's own error when a listener can't have
@@ -72,9 +72,9 @@
 	const startedAt = clock.date().getTime();
 	const random = createRandom(createSeed(node, startedAt));
 	const self: Home = {node, incarnation: startedAt};
-	const parts: GaugeSources = {};
+	const gaugeSources: GaugeSources = {};
 	const instruments = createNodeInstruments(settings, clock, () =>
-		readGauges(parts, instruments.log.dropped()),
+		readGauges(gaugeSources, instruments.log.dropped()),
 	);
 	const {reporter} = instruments;
 	const supervisor = createSupervisor(clock, ({path, error, restartIn}) => {
@@ -125,7 +125,7 @@
 		connectionLimit: limits.connections,
 		requestTimeout: limits.slowSender,
 		announce(announcement) {
-			takeTarget(announcement);
+			handleAnnouncement(announcement);
 		},
 	});
 	const callerAddress = await listenOn(caller, settings.listeners.caller);
@@ -133,10 +133,10 @@
 	const control = createControl(
 		readControlOptions(settings, {clock, random, core, member, platform}),
 	);
-	parts.control = control;
-	parts.core = core;
+	gaugeSources.control = control;
+	gaugeSources.core = core;
 
-	const takeTarget = createAnnouncementHandler(settings, core, control);
+	const handleAnnouncement = createAnnouncementHandler(settings, core, control);
 	const admin = createAdminListener({
 		services: createAdminServices({node, control, core, instruments}),
 		bodyLimit: limits.body,
@@ -154,7 +154,7 @@
 	}
 
 	if (settings.target?.announcement) {
-		takeTarget(settings.target.announcement);
+		handleAnnouncement(settings.target.announcement);
 	}
 
 	const stop = async () => {
@@ -210,7 +210,7 @@
 		clock,
 		self: () => ({...self, dataCentre}),
 		secret: secrets.peer ?? '',
-		messageLimit: limits.body + envelopeSize,
+		messageLimit: limits.body + envelopeLimit,
 		handshakeLimit,
 		onMalformed(detail) {
 			reporter.recordEvent({name: 'malformedMessage', detail});
@@ -305,10 +305,10 @@
 async function listenOn(listener: Listening, address: string): Promise<string> {
 	const {host, port} = parseAddress(address) ?? {
 		host: address,
-		port: wildcardPort,
+		port: anyFreePort,
 	};
-	const got = await listener.listen(host, port);
-	return formatAddress({host, port: got});
+	const boundPort = await listener.listen(host, port);
+	return formatAddress({host, port: boundPort});
 }
 
 function describeError(error: unknown): string {
--- a/packages/node/src/supervisor.ts
+++ b/packages/node/src/supervisor.ts
@@ -36,10 +36,10 @@
 	stop(): Promise<void>;
 };
 
-const firstDelay = 50;
-const longestDelay = 5000;
+const minRestartDelayMs = 50;
+const maxRestartDelayMs = 5000;
 /** A task that ran this long in milliseconds counts as healthy again. */
-const healthyAfter = 10_000;
+const healthyRunMs = 10_000;
 
 /** Creates the root of a tree. */
 export function createSupervisor(
@@ -60,12 +60,12 @@
 	>();
 	const branches: Supervisor[] = [];
 
-	const keepRunning = async (
+	const runWithRestarts = async (
 		name: string,
 		task: Task,
 		childSignal: AbortSignal,
 	) => {
-		let delay = firstDelay;
+		let delay = minRestartDelayMs;
 		while (!childSignal.aborted) {
 			const startedAt = clock.now();
 			try {
@@ -78,9 +78,9 @@
 				}
 
 				delay =
-					clock.now() - startedAt > healthyAfter
-						? firstDelay
-						: Math.min(delay * 2, longestDelay);
+					clock.now() - startedAt > healthyRunMs
+						? minRestartDelayMs
+						: Math.min(delay * 2, maxRestartDelayMs);
 				onFailure({path: `${path}/${name}`, error, restartIn: delay});
 				// eslint-disable-next-line no-await-in-loop -- the back-off before the next run.
 				await sleep(clock, delay, childSignal);
@@ -94,7 +94,7 @@
 			const stop = new AbortController();
 			const childSignal = AbortSignal.any([signal, stop.signal]);
 			const run = async () => {
-				await keepRunning(name, task, childSignal);
+				await runWithRestarts(name, task, childSignal);
 				if (children.get(name)?.stop === stop) {
 					children.delete(name);
 				}
--- a/packages/node/src/turn-queue.ts
+++ b/packages/node/src/turn-queue.ts
@@ -26,7 +26,7 @@
 	admission: AdmissionPolicy,
 ): TurnQueue {
 	const waiting = new Map<string, (turn: AdmissionTurn) => void>();
-	let wake: Timer | undefined;
+	let wakeTimer: Timer | undefined;
 
 	const settleAll = (turns: AdmissionTurn[]) => {
 		for (const turn of turns) {
@@ -35,17 +35,17 @@
 			settle?.(turn);
 		}
 
-		setWake();
+		scheduleWake();
 	};
 
 	const takeTurns = () => {
 		settleAll(admission.turns(clock.now()));
 	};
 
-	const setWake = () => {
-		wake?.cancel();
+	const scheduleWake = () => {
+		wakeTimer?.cancel();
 		const at = admission.wakeAt();
-		wake =
+		wakeTimer =
 			at === undefined
 				? undefined
 				: clock.setTimer(Math.max(0, at - clock.now()), takeTurns);
@@ -55,14 +55,14 @@
 		async wait({id}, signal) {
 			return new Promise((resolve) => {
 				const settle = (turn: AdmissionTurn) => {
-					signal.removeEventListener('abort', giveUp);
+					signal.removeEventListener('abort', onAbort);
 					resolve(turn);
 				};
 
-				const giveUp = () => {
+				const onAbort = () => {
 					if (waiting.delete(id)) {
 						admission.withdraw(id, clock.now());
-						setWake();
+						scheduleWake();
 						settle({
 							id,
 							kind: 'refuse',
@@ -74,8 +74,8 @@
 				};
 
 				waiting.set(id, settle);
-				signal.addEventListener('abort', giveUp);
-				setWake();
+				signal.addEventListener('abort', onAbort);
+				scheduleWake();
 			});
 		},
 		dispatchTurns: takeTurns,
--- a/packages/node/src/web-socket-channel.ts
+++ b/packages/node/src/web-socket-channel.ts
@@ -29,7 +29,7 @@
  * stopped reading would otherwise fill this node's memory; here the caller
  * learns at once that its request was not sent.
  */
-const bufferLimit = 8 * 1024 * 1024;
+const sendBufferLimit = 8 * 1024 * 1024;
 
 /**
  * Shakes hands and gives the channel, or the reason why there is none. It may
@@ -43,11 +43,11 @@
 ): Promise<Result<MessageChannel, HandshakeFailure>> {
 	socket.binaryType = 'nodebuffer';
 	const incoming = createMessageQueue<Message>();
-	const take = (data: RawData) => {
+	const onMessage = (data: RawData) => {
 		const decoded = decodeMessage(toBytes(data));
 		if (decoded.isErr()) {
 			context.onMalformed(decoded.error);
-			refuse(1002, 'malformed message');
+			rejectPeer(1002, 'malformed message');
 			return;
 		}
 
@@ -59,13 +59,13 @@
 	 * it up, half a minute later. Kept for a reader that has gone, its messages
 	 * would fill the memory; here nothing is decoded or kept after a refusal.
 	 */
-	const refuse = (code: number, reason: string) => {
-		socket.off('message', take);
+	const rejectPeer = (code: number, reason: string) => {
+		socket.off('message', onMessage);
 		incoming.end();
 		socket.close(code, reason);
 	};
 
-	socket.on('message', take);
+	socket.on('message', onMessage);
 	socket.on('close', () => {
 		incoming.end();
 	});
@@ -79,14 +79,14 @@
 		socket.terminate();
 	});
 	const handshake = createHandshake(side, context.self(), context.secret);
-	const greet = () => {
+	const sendHello = () => {
 		send(socket, handshake.hello);
 	};
 
 	if (socket.readyState === socket.OPEN) {
-		greet();
+		sendHello();
 	} else {
-		socket.once('open', greet);
+		socket.once('open', sendHello);
 	}
 
 	const messages = incoming.read()[Symbol.asyncIterator]();
@@ -101,7 +101,7 @@
 		const step = handshake.receive(next.value);
 		if (step.isErr()) {
 			timer.cancel();
-			refuse(1008, step.error);
+			rejectPeer(1008, step.error);
 			return err(step.error);
 		}
 
@@ -134,7 +134,7 @@
 function send(socket: WebSocket, message: Message): boolean {
 	if (
 		socket.readyState !== socket.OPEN ||
-		socket.bufferedAmount > bufferLimit
+		socket.bufferedAmount > sendBufferLimit
 	) {
 		return false;
 	}
--- a/packages/node/src/web-socket-transport.ts
+++ b/packages/node/src/web-socket-transport.ts
@@ -21,7 +21,7 @@
 };
 
 /** Milliseconds to open a connection; a peer that takes longer is as good as unreachable. */
-const connectTime = 2000;
+const connectTimeoutMs = 2000;
 
 /** Creates the transport; nothing listens until `listen`. */
 export function createWebSocketTransport(
@@ -37,17 +37,17 @@
 	});
 	const sockets = new Set<WebSocket>();
 	let handler: (channel: MessageChannel) => void = () => undefined;
-	let shaking = 0;
+	let handshakesInProgress = 0;
 
 	const track = (socket: WebSocket) => {
 		sockets.add(socket);
 		socket.on('close', () => sockets.delete(socket));
 	};
 
-	const shake = async (socket: WebSocket) => {
-		shaking++;
+	const performHandshake = async (socket: WebSocket) => {
+		handshakesInProgress++;
 		const channel = await openChannel(socket, 'acceptor', options);
-		shaking--;
+		handshakesInProgress--;
 		channel.match(
 			(accepted) => {
 				handler(accepted);
@@ -60,13 +60,13 @@
 
 	socketServer.on('connection', (socket) => {
 		track(socket);
-		if (shaking >= options.handshakeLimit) {
+		if (handshakesInProgress >= options.handshakeLimit) {
 			socket.close(1013, 'too many handshakes');
 			options.onRefused('too many handshakes');
 			return;
 		}
 
-		void shake(socket);
+		void performHandshake(socket);
 	});
 
 	return {
@@ -76,7 +76,7 @@
 		async connect(address, signal) {
 			const socket = new WebSocket(`ws://${address}`, {
 				perMessageDeflate: false,
-				handshakeTimeout: connectTime,
+				handshakeTimeout: connectTimeoutMs,
 				maxPayload: options.messageLimit,
 			});
 			track(socket);
