--- a/packages/node/src/admin-listener.ts
+++ b/packages/node/src/admin-listener.ts
@@ -1,9 +1,9 @@
 /**
- * The HTTP listener for operators and for the collector of metrics. The calls
- * and their answers are those of `@egretspoke/protocol`'s admin module.
+ * The HTTP listener for operators and the metrics collector. The calls and their
+ * answers are defined in the admin module of `@egretspoke/protocol`.
  *
- * What goes wrong without the token: whatever reaches the port can make a
- * target leave. One notices a `leaving` that no operator asked for.
+ * Without the token, any process that reaches the port could make a target
+ * leave, which shows as a `leaving` event that no operator requested.
  */
 import {Buffer} from 'node:buffer';
 import {timingSafeEqual} from 'node:crypto';
@@ -26,13 +26,13 @@
 import {readBody} from './request-body.js';
 import {listen} from './web-socket-transport.js';
 
-/** What came of a plan. */
+/** The result of a plan request. */
 export type PlanResult =
 	| {kind: 'planned'; plan: Plan}
 	| {kind: 'findings'; findings: FindingsAnswer['findings']}
 	| {kind: 'unavailable'; detail: string};
 
-/** What the listener calls. */
+/** The services that the listener calls. */
 export type AdminServices = {
 	plan(request: PlanRequest): Promise<PlanResult>;
 	/** Undefined when no such plan is known. */
@@ -44,7 +44,7 @@
 	metrics(): Promise<string>;
 };
 
-/** What the listener needs to know. */
+/** Options of the listener. */
 export type AdminListenerOptions = {
 	services: AdminServices;
 	/** The bearer token; without one only the address protects the listener. */
@@ -124,7 +124,7 @@
 	},
 ];
 
-/** Milliseconds for a whole admin request to arrive. */
+/** Timeout in milliseconds for a whole admin request to arrive. */
 const requestTimeoutMs = 10_000;
 
 /** Creates the listener; nothing listens until `listen`. */
@@ -241,7 +241,7 @@
 	}
 }
 
-/** Undefined for a text that isn't percent-encoded as RFC 3986 says. */
+/** Undefined for a text that isn't percent-encoded according to RFC 3986. */
 function decodeParameter(text = ''): string | undefined {
 	try {
 		return decodeURIComponent(text);
--- a/packages/node/src/admin-services.ts
+++ b/packages/node/src/admin-services.ts
@@ -1,4 +1,4 @@
-/** What the admin listener calls, made of control and the core. */
+/** Implements the services of the admin listener with control and the core. */
 import type {Control} from '@egretspoke/control';
 import type {EventFields, EventName} from '@egretspoke/observability';
 import type {ConfirmAnswer} from '@egretspoke/protocol';
@@ -6,7 +6,7 @@
 import type {NodeCore} from './node-core.js';
 import type {NodeInstruments} from './node-instruments.js';
 
-/** What the services are made of. */
+/** Dependencies of the services. */
 export type AdminServicesContext = {
 	node: string;
 	control: Control;
--- a/packages/node/src/announcement-handler.ts
+++ b/packages/node/src/announcement-handler.ts
@@ -1,4 +1,4 @@
-/** The target beside the node: takes its announcements, and lets go of a former one. */
+/** Handles announcements of the local target, and closes the client of a previous one. */
 import {isDeepStrictEqual} from 'node:util';
 import type {Control} from '@egretspoke/control';
 import type {TargetAnnouncement} from '@egretspoke/protocol';
@@ -6,10 +6,10 @@
 import type {NodeCore} from './node-core.js';
 import type {NodeSettings} from './settings.js';
 
-/** Takes an announcement. A target that announces itself again unchanged, as often as it likes, changes nothing. */
+/** Handles an announcement. A repeated announcement without changes has no effect. */
 export type AnnouncementHandler = (announcement: TargetAnnouncement) => void;
 
-/** Creates the taker of one node. Without a target in the settings, announcements are ignored. */
+/** Creates the handler of one node. Without a target in the settings, announcements are ignored. */
 export function createAnnouncementHandler(
 	{target, limits}: NodeSettings,
 	core: NodeCore,
@@ -23,7 +23,7 @@
 			return;
 		}
 
-		// Closing waits for the requests that the former client still carries.
+		// Closing waits for the requests in progress on the previous client.
 		void client?.close();
 		current = announcement;
 		client = createHttpTargetClient({
--- a/packages/node/src/attempt-idempotent.ts
+++ b/packages/node/src/attempt-idempotent.ts
@@ -1,13 +1,16 @@
 /**
- * The attempts at a request that may run more than once: another target is
- * tried after a definite refusal and after a lost answer alike.
+ * Attempts at an idempotent request: another target is tried after a definite
+ * refusal and also after a lost answer.
  */
 import {createAttemptTicket} from '@egretspoke/ledger';
 import {admitUnknown, ErrorCode, type Outcome} from '@egretspoke/protocol';
 import {createAttempts, type AttemptsContext} from './attempts.js';
 import type {EntryCall} from './request-chain.js';
 
-/** Resolves with the first answer, or with the end of the last attempt; the signal aborts at the deadline. */
+/**
+ * Resolves with the first answer, or with the outcome of the last attempt; the
+ * signal aborts at the deadline.
+ */
 export async function attemptIdempotent(
 	context: AttemptsContext,
 	call: EntryCall,
@@ -28,8 +31,8 @@
 			return outcome;
 		}
 
-		// A later refusal says nothing about an earlier attempt whose answer
-		// was lost: "not run" would be a lie about the request.
+		// A later refusal does not cover an earlier attempt whose answer was lost,
+		// so "not run" would be wrong for the request as a whole.
 		mayHaveRun ||= outcome.kind === 'unknown';
 		if (outcome.refusal.code === ErrorCode.Quarantined) {
 			attempts.finish();
--- a/packages/node/src/attempt-sender.ts
+++ b/packages/node/src/attempt-sender.ts
@@ -1,6 +1,6 @@
 /**
- * One attempt at one target: the routing decision, the way to the target's
- * node, and what the router learns from its end.
+ * One attempt at one target: makes the routing decision, sends the request to
+ * the target's node and reports the result to the router.
  */
 import {
 	ErrorCode,
@@ -19,26 +19,26 @@
 import type {NodeReporter} from './node-reporter.js';
 import {refuseTicket} from './ticket-refusal.js';
 
-/** Reaches the ingress of a node, be it this one or a peer. */
+/** Calls the ingress of a node, which is either this one or a peer. */
 export type TargetPath = (
 	node: string,
 	request: CallRequest,
 	signal: AbortSignal,
 ) => Promise<ExchangeResult>;
 
-/** The right to send. */
+/** The ticket that permits sending an attempt. */
 export type SendTicket = Pick<HandOverTicket, 'handOver' | 'surrender'>;
 
-/** How an attempt ended and where it went. */
+/** The outcome of an attempt and where it was sent. */
 export type SentAttempt = {
 	outcome: Outcome;
-	/** Absent when the router refused. */
+	/** Absent when the attempt was refused before it was sent. */
 	result?: AttemptResult;
-	/** Attempts granted to the chain below. */
+	/** Attempts granted to the downstream chain. */
 	granted: number;
 };
 
-/** What the sender is built from. */
+/** Dependencies of the sender. */
 export type AttemptSenderContext = {
 	clock: Clock;
 	routing: RoutingPolicy;
@@ -46,7 +46,7 @@
 	path: TargetPath;
 };
 
-/** Sends one attempt; resolves always. */
+/** Sends one attempt; always resolves. */
 export type AttemptSender = (
 	request: CallRequest,
 	facts: CallFacts,
--- a/packages/node/src/attempts.ts
+++ b/packages/node/src/attempts.ts
@@ -1,4 +1,4 @@
-/** The attempts of one request at its entry node: what was tried, and what may be tried yet. */
+/** The attempts of one request at its entry node: tracks what was tried and how many attempts are left. */
 import {
 	createRefusal,
 	ErrorCode,
@@ -18,13 +18,13 @@
 /** The attempts of one request. */
 export type Attempts = {
 	send(ticket: SendTicket, signal: AbortSignal): Promise<Outcome>;
-	/** Resolves with nothing once another attempt may be made, or with the refusal to give. */
+	/** Resolves with undefined once another attempt may be made, or with the refusal to return. */
 	retry(refusal: Refusal, signal: AbortSignal): Promise<Refusal | undefined>;
-	/** Gives what was not used back to the chain. */
+	/** Returns unused attempts to the chain. */
 	finish(): void;
 };
 
-/** What the attempts are made with. */
+/** Dependencies of the attempts. */
 export type AttemptsContext = {
 	clock: Clock;
 	routing: RoutingPolicy;
@@ -32,10 +32,10 @@
 	reporter: NodeReporter;
 };
 
-/** Tells the attempts of one process apart, also those of a request that passes its node twice. */
+/** Makes attempt ids unique within the process, also when a request passes this node twice. */
 let attemptNumber = 0;
 
-/** Creates the attempts of a request that has made none. */
+/** Creates the attempts of a new request. */
 export function createAttempts(
 	context: AttemptsContext,
 	call: EntryCall,
@@ -65,7 +65,8 @@
 			const attempt = createFacts();
 			const sent = await context.send(request, attempt, options);
 			lastAttempt = sent.result && {facts: attempt, result: sent.result};
-			// A definite refusal used nothing below; anything else may have used all it was given.
+			// A definite refusal used no attempts downstream; any other outcome may
+			// have used all that were granted.
 			left -= sent.outcome.kind === 'notRun' ? 0 : sent.granted;
 			return sent.outcome;
 		},
@@ -75,7 +76,8 @@
 			}
 
 			if (lastAttempt.result.result === 'unknown') {
-				// Its attempt is already deducted; the decision expects it included.
+				// The attempt is already deducted, but the decision expects a count
+				// that includes it.
 				left += 1;
 			}
 
--- a/packages/node/src/body-budget.ts
+++ b/packages/node/src/body-budget.ts
@@ -1,21 +1,21 @@
 /**
- * Bounds the bytes of callers' bodies that a node holds at once.
+ * Limits the total bytes of caller bodies that a node holds at once.
  *
- * What goes wrong without it: the limit of one body times the limit of
- * connections is far more than a VM's memory, so that many uploads at once, or
- * many senders who stop half way, end the process and every request in it. One
- * notices restarts during the morning's photos. Here the upload that doesn't
- * fit is refused before it ran, and told when to come back.
+ * The limit of one body times the limit of connections is far more than the
+ * memory of a VM. Many simultaneous uploads, or many senders that stop half-way,
+ * would end the process and every request in it, as with restarts during the
+ * morning's photo uploads. An upload that doesn't fit is refused before it runs,
+ * with a Retry-After.
  */
 
-/** The bytes that are still free. */
+/** A budget of bytes. */
 export type BodyBudget = {
-	/** Takes bytes; false when they don't fit, and nothing is taken then. */
+	/** Reserves bytes; returns false and reserves nothing if they don't fit. */
 	reserve(bytes: number): boolean;
 	release(bytes: number): void;
 };
 
-/** Creates a budget of that many bytes. */
+/** Creates a budget of `limit` bytes. */
 export function createBodyBudget(limit: number): BodyBudget {
 	let reserved = 0;
 	return {
--- a/packages/node/src/call-facts.ts
+++ b/packages/node/src/call-facts.ts
@@ -1,4 +1,4 @@
-/** What the decisions are told about a request. */
+/** Derives the facts about a request on which the decisions are based. */
 import type {CallFacts} from '@egretspoke/decisions';
 import type {CallRequest} from '@egretspoke/protocol';
 
@@ -18,7 +18,10 @@
 	};
 }
 
-/** Method and path, with whatever looks like an identifier left out, so that durations are learnt by kind. */
+/**
+ * Method and path without segments that look like identifiers, so that durations
+ * are estimated per kind of request.
+ */
 export function readOperation({
 	method,
 	path,
--- a/packages/node/src/caller-answer.ts
+++ b/packages/node/src/caller-answer.ts
@@ -12,7 +12,7 @@
 } from '@egretspoke/protocol';
 import type {CallerOutcome} from './caller-request.js';
 
-/** Writes the whole answer; a caller that has gone is no error. */
+/** Writes the whole answer; it is no error if the caller has disconnected. */
 export function writeOutcome(
 	response: ServerResponse,
 	{request, outcome, home, keyExpiry}: CallerOutcome,
@@ -67,7 +67,7 @@
 	response.end(body);
 }
 
-/** What a program reads of a refusal; the sentences are for people. */
+/** The body of a refusal. Programs read its codes; `message` and `advice` are for people. */
 type RefusalBody = {
 	outcome: string;
 	code: number;
--- a/packages/node/src/caller-listener.ts
+++ b/packages/node/src/caller-listener.ts
@@ -1,6 +1,6 @@
 /**
- * The HTTP listener for callers: one task a connection, each request read
- * whole within its limits, answered once.
+ * The HTTP listener for callers, with one task per connection: each request is
+ * read completely within its limits and answered once.
  */
 import {once} from 'node:events';
 import {
@@ -25,25 +25,28 @@
 	entry: CallerEntry;
 	reporter: NodeReporter;
 	bodyLimit: number;
-	/** All bodies that are held at once. */
+	/** Maximum total of the bodies held at the same time. */
 	bufferLimit: number;
 	headerLimit: number;
 	connectionLimit: number;
-	/** For a whole request to arrive; a slow sender is cut off after it. */
+	/** Maximum time for a whole request to arrive; a slower sender is disconnected. */
 	requestTimeout: number;
-	/** Takes the announcement of the target beside the node. */
+	/** Called with each announcement of the local target. */
 	announce(announcement: TargetAnnouncement): void;
 };
 
 /** The listener. */
 export type CallerListener = {
 	listen(host: string, port: number): Promise<number>;
-	/** Takes no new connections, and closes each open one after its answer. */
+	/** Accepts no new connections, and closes each open one after its answer. */
 	drain(): void;
 	close(): Promise<void>;
 };
 
-/** Milliseconds an idle connection is kept: longer than a client's own, so that the client closes first and no request meets a closing socket. */
+/**
+ * Keep-alive timeout in milliseconds. It is longer than that of clients, so that
+ * the client closes first and no request is sent on a closing socket.
+ */
 const keepAliveTimeoutMs = 65_000;
 
 /** Creates the listener; nothing listens until `listen`. */
@@ -107,7 +110,7 @@
 	ErrorCode.MalformedRequest,
 );
 
-/** Faults that Node's parser finds, before there is a request to answer. */
+/** Raw answers to errors of the HTTP parser, which occur before there is a request object. */
 const clientErrorAnswers: Record<string, string> = {
 	// eslint-disable-next-line @typescript-eslint/naming-convention -- Node's error codes.
 	HPE_HEADER_OVERFLOW: rawAnswer(
@@ -189,7 +192,10 @@
 	return outcome;
 }
 
-/** Milliseconds after which an upload that found no room comes back: most bodies have left by then. */
+/**
+ * Retry-After in milliseconds for an upload that doesn't fit into the body
+ * budget; most bodies have been released by then.
+ */
 const bufferFullRetryAfterMs = 1000;
 
 const bodyRefusals: Record<BodyFault, {code: ErrorCode; retryAfter?: number}> =
@@ -218,7 +224,7 @@
 	try {
 		return await options.entry.handle(read.value, signal);
 	} catch (error) {
-		// The request may have been handed over before the fault.
+		// The request may have been handed over before the error.
 		return {
 			request: read.value.id ?? 'none',
 			outcome: {
--- a/packages/node/src/caller-request-reader.ts
+++ b/packages/node/src/caller-request-reader.ts
@@ -1,4 +1,4 @@
-/** Makes a caller's request of an HTTP request, with every fault in its headers. */
+/** Reads a caller request from an HTTP request and reports every fault in its headers. */
 import type {IncomingMessage} from 'node:http';
 import {err, ok, type Result} from 'neverthrow';
 import {headerNames, parseHome} from '@egretspoke/protocol';
@@ -7,7 +7,7 @@
 const numberPattern = /^\d{1,16}$/u;
 const identifierPattern = /^[\u0021-\u007E]{1,200}$/u;
 
-/** Headers between a caller and its node alone; the target gets its own. */
+/** Headers exchanged only between a caller and its node; the target receives its own. */
 const callerOnlyHeaders = new Set<string>([
 	headerNames.home,
 	headerNames.keyExpiry,
--- a/packages/node/src/caller-request.ts
+++ b/packages/node/src/caller-request.ts
@@ -1,9 +1,9 @@
-/** A request as it comes in from a caller, before anything is decided. */
+/** A request as received from a caller, before any decision. */
 import type {Home, Outcome, RequestClass} from '@egretspoke/protocol';
 
-/** What the caller listener makes of an HTTP request. */
+/** A request that the caller listener has read from HTTP. */
 export type CallerRequest = {
-	/** Present on a request from deeper in a chain. */
+	/** Present on a downstream call: the request it belongs to. */
 	id?: string;
 	service: string;
 	method: string;
@@ -11,11 +11,11 @@
 	headers: Record<string, string>;
 	body: Uint8Array;
 	caller: string;
-	/** Milliseconds left; absent for a first entry that states none. */
+	/** Milliseconds left; absent when the caller of a first entry states none. */
 	timeLeft?: number;
 	/** Attempts left for the chain; absent at a first entry. */
 	attempts?: number;
-	/** Present on a request from deeper in a chain; never raised there. */
+	/** Present on a downstream call; never raised there. */
 	requestClass?: RequestClass;
 	key?: string;
 	/** Milliseconds since 1970. */
@@ -23,7 +23,7 @@
 	home?: Home;
 };
 
-/** The end of a caller's request, with what the answer's headers tell. */
+/** The outcome of a caller's request, with the values of the answer's headers. */
 export type CallerOutcome = {
 	request: string;
 	outcome: Outcome;
@@ -35,8 +35,8 @@
 	ranAt?: string;
 };
 
-/** The door of the node's core; the HTTP listener and the tests both use it. */
+/** The interface of the core for callers, used by the HTTP listener and by tests. */
 export type CallerEntry = {
-	/** Resolves always, and exactly once; the signal tells that the caller has gone. */
+	/** Always resolves; the signal aborts when the caller has gone. */
 	handle(request: CallerRequest, signal: AbortSignal): Promise<CallerOutcome>;
 };
--- a/packages/node/src/control-subscription.ts
+++ b/packages/node/src/control-subscription.ts
@@ -1,10 +1,10 @@
-/** Carries what control learns to the core and to the reporter. */
+/** Forwards changes of membership and configuration to the core and to the reporter. */
 import type {Control} from '@egretspoke/control';
 import type {Member} from '@egretspoke/protocol';
 import type {NodeCore} from './node-core.js';
 import type {NodeReporter} from './node-reporter.js';
 
-/** Keeps the router and the ingress as membership and configuration say. */
+/** Updates the router and the ingress when membership changes, and records the events of control. */
 export function subscribeToControl(
 	control: Control,
 	core: NodeCore,
@@ -60,7 +60,7 @@
 	});
 }
 
-/** A heartbeat or a version alone changes nothing for the router. */
+/** A change of the heartbeat or of the version alone does not affect the router. */
 function isRoutingChange(member: Member, before: Member): boolean {
 	return (
 		member.state !== before.state ||
--- a/packages/node/src/entry-keys.ts
+++ b/packages/node/src/entry-keys.ts
@@ -1,11 +1,12 @@
 /**
- * What an entry may say of a key before its ledger was asked.
+ * Refusals at the entry that take earlier attempts at the same idempotency key
+ * into account.
  *
- * What goes wrong without it: a payment ran and its answer was lost; its repeat
- * meets a node that is leaving, or can't reach its home, and is told "not run".
- * That is true of the repeat alone, but its user takes it for the payment. One
- * notices a "not run" in the caller's log and a row at the service. Only the
- * ledger of the key's home can say that no attempt has run.
+ * A payment runs and its answer is lost; its repeat reaches a node that is
+ * leaving or cannot reach the home of the key, and is refused as "not run". That
+ * is true of the repeat only, but the user takes it for the payment: the
+ * caller's log shows "not run" and the service has a row. Only the ledger at the
+ * key's home can prove that no attempt has run.
  */
 import {
 	formatHome,
@@ -20,17 +21,20 @@
 
 type KeyFields = Pick<CallRequest, 'service' | 'key' | 'keyExpiry'>;
 
-/** Refusals that know about keys. */
+/** Refuses requests according to the earlier attempts at their keys. */
 export type KeyRefusals = {
-	/** Says "not run" only where no earlier attempt at the key can have run. */
+	/** Refuses as "not run" only if no earlier attempt at the key can have run, otherwise as "unknown". */
 	refuse(
 		incoming: CallerRequest,
 		code: ErrorCode,
 		retryAfter?: number,
 	): Outcome;
-	/** A repeat starts nothing new, so a node that takes no new work answers it. */
+	/**
+	 * True for a repeat whose key has its home here. It starts no new work, so a
+	 * node that refuses new work still answers it.
+	 */
 	isRepeatHere(incoming: CallerRequest): boolean;
-	/** For a request whose key has its home here. */
+	/** Whether an earlier attempt may have run, for a request whose key has its home here. */
 	mayHaveRunHere(request: KeyFields): boolean;
 };
 
--- a/packages/node/src/entry-refusal.ts
+++ b/packages/node/src/entry-refusal.ts
@@ -1,4 +1,4 @@
-/** Refusals of attempts that never left this process. */
+/** Refusals that the entry node issues itself. */
 import {
 	admitUnknown,
 	createHandOverTicket,
@@ -8,7 +8,7 @@
 	type Outcome,
 } from '@egretspoke/protocol';
 
-/** Says "not run", with the proof of a ticket that never left this process. */
+/** Refuses as "not run". The proof is a ticket that never left this process. */
 export function refuseAsNotRun(
 	code: ErrorCode,
 	retryAfter?: number,
@@ -27,9 +27,9 @@
 }
 
 /**
- * Refuses an attempt at a key whose earlier attempts are not known here. "Not
- * run" would be true of this attempt alone, and its user, whose earlier attempt
- * may have run, would take it for the request.
+ * Refuses as "unknown" an attempt at a key whose earlier attempts are not
+ * recorded here. "Not run" would be true of this attempt only, but the user,
+ * whose earlier attempt may have run, would take it for the whole request.
  */
 export function refuseAsUnknown(code: ErrorCode, retryAfter?: number): Outcome {
 	return admitUnknown(
--- a/packages/node/src/entry.ts
+++ b/packages/node/src/entry.ts
@@ -1,6 +1,6 @@
 /**
- * The entry node's side: a caller's request from its arrival to its one final
- * answer, over as many attempts as its chain, its deadline and the retry
+ * Handles requests at the entry node: from a caller's request to its single
+ * final answer, over as many attempts as its chain, its deadline and the retry
  * budget allow.
  */
 import {
@@ -41,46 +41,46 @@
 } from './request-chain.js';
 import type {RunningRequests} from './running-requests.js';
 
-/** What the entry is built from. */
+/** Dependencies of the entry. */
 export type EntryContext = {
 	clock: Clock;
 	self: Home;
 	routing: RoutingPolicy;
 	send: AttemptSender;
 	ledger: Ledger;
-	/** Milliseconds that this home remembers a key for at the most. */
+	/** Maximum time in milliseconds for which this home remembers a key. */
 	keyLifetime: number;
 	/** `attemptAtMostOnce` when absent. */
 	attemptHandler?: AttemptHandler;
 	running: RunningRequests;
 	reporter: NodeReporter;
-	/** Requests under which targets crashed. */
+	/** Tracks requests that were running when targets crashed. */
 	quarantine: NodeQuarantine;
-	/** Undefined for a service that nobody configured or announced. */
+	/** Undefined for a service that is neither configured nor announced. */
 	classify(
 		service: string,
 		method: string,
 		path: string,
 	): Classification | undefined;
-	/** Milliseconds for which a request that is read now may have waited. */
+	/** Upper bound in milliseconds on how long a request that is read now has been waiting. */
 	maxMessageAge(): number;
-	/** The priority number of a request that the node's own target runs. */
+	/** Priority number of a request that runs at the local target. */
 	priorityOf(request: string): number | undefined;
-	/** Passes a request to the home of its key. */
+	/** Forwards a request to the home of its key. */
 	forwardToHome(
 		home: Home,
 		request: CallRequest,
 		signal: AbortSignal,
 	): Promise<ExchangeResult>;
-	/** A reason for which no new request may enter here. */
+	/** The error code with which new requests are refused; undefined while they are accepted. */
 	getRefusalCode(): ErrorCode | undefined;
 };
 
-/** The entry, for callers and for peers that pass a request to its home. */
+/** Serves callers, and peers that forward a request to the home of its key. */
 export type Entry = CallerEntry & {
-	/** Handles a request whose key has its home here. */
+	/** Handles a forwarded request whose key has its home on this node. */
 	handleAtHome(request: CallRequest, signal: AbortSignal): Promise<Outcome>;
-	/** Requests that have not been answered yet. */
+	/** Number of requests that have not been answered yet. */
 	openRequests(): number;
 	/** Resolves when every request has been answered. */
 	whenIdle(): Promise<void>;
@@ -88,13 +88,13 @@
 
 type CallHandler = (call: EntryCall, caller: LinkedAbort) => Promise<Outcome>;
 
-/** Refusals whose caller is to come back with a home and an expiry. */
+/** Refusals after which the caller has to repeat the request with a home and an expiry. */
 const codesWithProposedExpiry: ReadonlySet<ErrorCode> = new Set([
 	ErrorCode.HomeRequired,
 	ErrorCode.KeyExpiryRequired,
 ]);
 
-/** Milliseconds after which a home that couldn't be reached may be. */
+/** Retry-After in milliseconds when the home of a key could not be reached. */
 const homeRetryAfterMs = 1000;
 
 /** Creates the entry of one node. */
@@ -168,14 +168,17 @@
 		};
 	};
 
-	/** What a caller needs besides the home to send a key that it may repeat. */
+	/** The expiry to propose for a key. With it and the home, the caller can send a key that it may repeat. */
 	const proposeExpiry = (outcome: Outcome): Pick<CallerOutcome, 'keyExpiry'> =>
 		outcome.kind === 'notRun' &&
 		codesWithProposedExpiry.has(outcome.refusal.code)
 			? {keyExpiry: clock.date().getTime() + context.keyLifetime}
 			: {};
 
-	/** A target's own calls go on while its node is leaving: they belong to requests in flight. */
+	/**
+	 * Calls of the local target are still accepted while the node is leaving,
+	 * because they belong to requests in flight.
+	 */
 	const isDownstreamCall = ({id}: CallerRequest) =>
 		id !== undefined && running.has(id);
 
@@ -205,7 +208,10 @@
 			attemptIdempotent(context, call, caller.signal),
 		);
 
-	/** At the deadline the caller counts as gone, and gets its final answer at once. */
+	/**
+	 * Aborts the work at the deadline as if the caller had gone, so that the
+	 * caller gets its final answer immediately.
+	 */
 	const runUntilDeadline = async (
 		call: EntryCall,
 		caller: LinkedAbort,
--- a/packages/node/src/exchange-table.ts
+++ b/packages/node/src/exchange-table.ts
@@ -1,12 +1,13 @@
 /**
- * The exchanges open on one channel, matched by number.
+ * Tracks the open exchanges of one channel and matches answers to them by
+ * number.
  *
- * What goes wrong without it: an answer that comes late, after its caller gave
- * up, is given to whoever waits next on the channel, and a boat owner sees
- * another's receipt. One notices answers that don't fit their requests. Here
- * a number is used once for the life of a channel; an answer with no open
- * exchange is dropped and counted, and one whose length doesn't fit is an
- * error, never a short success.
+ * An answer that arrives after its caller gave up could otherwise be given to
+ * the next caller waiting on the channel: answers don't fit their requests, and
+ * a boat owner sees another's receipt. A number is therefore used only once in
+ * the life of a channel. An answer without an open exchange is dropped and
+ * counted, and an answer whose length doesn't match is an error, never a short
+ * success.
  */
 import {
 	acceptCertifiedRefusal,
@@ -21,33 +22,33 @@
 	type Refusal,
 } from '@egretspoke/protocol';
 
-/** What came back for a call: its outcome, and the load of the node that gave it. */
+/** The result of a call: its outcome, and the load of the node that returned it. */
 export type ExchangeResult = {
 	outcome: Outcome;
 	load?: LoadReport;
-	/** True when the peer was never asked, so that nothing is known of it. */
+	/** True when nothing was sent to the peer, so the result contains no information about it. */
 	isUnsent?: true;
 };
 
 /** The open exchanges of one channel. */
 export type ExchangeTable = {
 	/**
-	 * Opens an exchange and sends its first message. It resolves once: with the
-	 * answer, or as `unknown` when the channel closes or the signal aborts. The
-	 * peer is told to cancel in the latter case.
+	 * Opens an exchange and sends its first message. Resolves once: with the
+	 * answer, or as `unknown` when the channel closes or the signal aborts. An
+	 * abort also sends a `cancel` message to the peer.
 	 */
 	open(
 		create: (exchange: number) => Message,
 		signal: AbortSignal,
 	): Promise<ExchangeResult>;
-	/** Takes an answer in; false when nobody waits for it. */
+	/** Settles the exchange that the answer belongs to; false when it is not open. */
 	settle(message: AnswerMessage): boolean;
-	/** The channel is closed: every open exchange ends as `unknown`. */
+	/** Ends every open exchange as `unknown`, because the channel has closed. */
 	closeAll(): void;
 	size(): number;
 };
 
-/** Creates a table that sends by the given function; `send` tells whether it sent. */
+/** Creates a table; `send` returns whether the message was sent. */
 export function createExchangeTable(
 	send: (message: Message) => boolean,
 ): ExchangeTable {
@@ -98,7 +99,7 @@
 	};
 }
 
-/** Turns an outcome into the message that ends an exchange. */
+/** Creates the message that ends an exchange. */
 export function writeAnswer(
 	exchange: number,
 	{outcome, load}: ExchangeResult,
@@ -163,7 +164,7 @@
 	});
 }
 
-/** The end of an exchange whose first message never left. */
+/** The result of an exchange whose first message was not sent. */
 export function createUnsentResult(): ExchangeResult {
 	return {
 		isUnsent: true,
--- a/packages/node/src/http-target-client.ts
+++ b/packages/node/src/http-target-client.ts
@@ -1,11 +1,11 @@
-/** The target beside the node, reached by HTTP through undici. */
+/** The HTTP client of the local target, based on undici. */
 import {Buffer} from 'node:buffer';
 import {Agent, type Dispatcher} from 'undici';
 import {headerNames, type CallRequest} from '@egretspoke/protocol';
 import {probeListening} from '@egretspoke/shared';
 import type {TargetClient, TargetResult} from './target-client.js';
 
-/** What the client needs to know. */
+/** Options of the client. */
 export type HttpTargetOptions = {
 	/** `ip:port` of the target. */
 	address: string;
@@ -15,7 +15,7 @@
 	bodyLimit: number;
 };
 
-/** Headers that belong to one connection and aren't passed on. */
+/** Headers that belong to one connection and aren't forwarded. */
 const connectionHeaders = new Set([
 	'connection',
 	'keep-alive',
@@ -61,7 +61,7 @@
 	};
 }
 
-/** The headers that tell the target its request, class, time and attempts. */
+/** Adds the headers with the request id, class, remaining time and attempts. */
 function writeHeaders(
 	request: CallRequest,
 	timeLeft: number,
@@ -82,7 +82,7 @@
 	return headers;
 }
 
-/** One exchange, written straight on undici's dispatch: no streams in between. */
+/** One exchange, implemented directly on `dispatch` of undici, without streams in between. */
 async function dispatch(
 	agent: Agent,
 	exchange: Dispatcher.DispatchOptions,
@@ -147,8 +147,8 @@
 }
 
 /**
- * A connection that never stood carried nothing, so nothing ran; anything
- * later may have reached the target before it broke.
+ * Without an established connection nothing was sent, so nothing ran. Later
+ * errors may have occurred after the request reached the target.
  */
 function readFailure(
 	isConnected: boolean,
--- a/packages/node/src/idle-counter.ts
+++ b/packages/node/src/idle-counter.ts
@@ -1,17 +1,17 @@
-/** Counts what is in progress, so that a planned stop can wait for its end. */
+/** Counts work in progress, so that a planned stop can wait for its end. */
 
-/** A count that can be waited on. */
+/** A counter that can be awaited. */
 export type IdleCounter = {
 	enter(): void;
 	leave(): void;
-	/** Counts the work while it lasts. */
+	/** Counts the work until it settles. */
 	track<T>(work: () => Promise<T>): Promise<T>;
 	count(): number;
-	/** Resolves when the count is nought; at once if it is so now. */
+	/** Resolves when the count is zero; immediately if it already is. */
 	whenIdle(): Promise<void>;
 };
 
-/** Creates a counter at nought. */
+/** Creates a counter at zero. */
 export function createIdleCounter(): IdleCounter {
 	let inProgress = 0;
 	let waiters: Array<() => void> = [];
--- a/packages/node/src/ingress.ts
+++ b/packages/node/src/ingress.ts
@@ -1,6 +1,6 @@
 /**
- * The target's side of the node: every request for the target, from whatever
- * entry, passes the admission here and is handed over at most once.
+ * The target's side of a node: every request for the local target, from any
+ * entry node, passes admission here and is handed over at most once.
  */
 import {
 	admitUnknown,
@@ -32,7 +32,7 @@
 import {refuseTicket} from './ticket-refusal.js';
 import {createTurnQueue} from './turn-queue.js';
 
-/** What the ingress is built from. */
+/** Dependencies of the ingress. */
 export type IngressContext = {
 	clock: Clock;
 	admission: AdmissionPolicy;
@@ -40,30 +40,36 @@
 	announcement: TargetAnnouncement;
 	running: RunningRequests;
 	reporter: NodeReporter;
-	/** Requests under which targets crashed. */
+	/** Tracks requests that were running when targets crashed. */
 	quarantine: NodeQuarantine;
-	/** A reason for which nothing new may run now: a pause beyond the lease. */
+	/**
+	 * The error code with which new requests are refused, as after a pause longer
+	 * than the lease; undefined while they may run.
+	 */
 	getRefusalCode(): ErrorCode | undefined;
 };
 
-/** The door to the target. */
+/** Admits requests to the local target. */
 export type Ingress = {
-	/** Resolves once, always; the signal tells that the caller gave up. */
+	/** Always resolves; the signal aborts when the caller gives up. */
 	run(request: CallRequest, signal: AbortSignal): Promise<Outcome>;
-	/** From now on nothing new is admitted; what waits is handed back as not run. */
+	/** Stops admitting new requests and refuses waiting ones as "not run". */
 	leave(): void;
-	/** Takes work again. */
+	/** Admits requests again after `leave`. */
 	rejoin(): void;
 	isLeaving(): boolean;
-	/** The load, with the level that holds for the operation. */
+	/** The load report, with the shed level that applies to the operation. */
 	report(operation?: string): LoadReport;
-	/** Requests at the target now. */
+	/** Number of requests at the target. */
 	inFlight(): number;
-	/** Resolves when nothing runs any more. */
+	/** Resolves when no request is running. */
 	whenIdle(): Promise<void>;
 };
 
-/** Milliseconds after which a caller refused by a leaving or paused node comes back: another target serves it at once. */
+/**
+ * Retry-After in milliseconds of a refusal by a leaving or paused node; 0
+ * because another target can serve the request immediately.
+ */
 const leavingRetryAfterMs = 0;
 
 /** Creates the ingress of one target. */
@@ -90,8 +96,9 @@
 	): Promise<Outcome> => {
 		const startedAt = clock.now();
 		idle.enter();
-		// A process that was frozen here wakes with its old plans; the deadline
-		// is read again so that nothing starts for a caller that has gone.
+		// The process may have been frozen since the admission decision. The
+		// deadline is checked again so that nothing starts for a caller that has
+		// gone.
 		const refusalCode = findLateRefusal(
 			facts,
 			startedAt,
@@ -134,7 +141,7 @@
 	const refuseQuarantined = () =>
 		admitUnknown(createRefusal(ErrorCode.Quarantined));
 
-	/** One of those that may crash the target runs at a time. */
+	/** Runs a request that may crash the target; only one such request runs at a time. */
 	const runIsolated = async (
 		request: CallRequest,
 		signal: AbortSignal,
@@ -147,7 +154,8 @@
 			});
 		}
 
-		// The one before it may have been the same request.
+		// The previous turn may have run the same request, and crashed the target
+		// again.
 		const outcome = context.quarantine.blocks(request)
 			? refuseQuarantined()
 			: await runAdmitted(request, signal);
--- a/packages/node/src/isolated-turns.ts
+++ b/packages/node/src/isolated-turns.ts
@@ -1,18 +1,18 @@
-/** The turns of calls that may crash their target: one of them runs at a time. */
+/** Serializes the calls that may crash their target: only one of them runs at a time. */
 import {createIsolation} from '@egretspoke/quarantine';
 
-/** A turn that was given. */
+/** A granted turn. */
 export type IsolatedTurn = {leave(): void};
 
 /** The turns at one target. */
 export type IsolatedTurns = {
-	/** Resolves with the turn; with nothing once the signal aborts. */
+	/** Resolves with the turn, or with undefined once the signal aborts. */
 	enter(signal: AbortSignal): Promise<IsolatedTurn | undefined>;
 };
 
 type Waiter = {wake: () => void};
 
-/** Creates the turns; the first is free. */
+/** Creates the turns of an idle target. */
 export function createIsolatedTurns(): IsolatedTurns {
 	const isolation = createIsolation<Waiter>();
 
--- a/packages/node/src/key-report.ts
+++ b/packages/node/src/key-report.ts
@@ -1,8 +1,8 @@
-/** Tells the reporter when a key's home answered from its ledger, or refused the key. */
+/** Reports when a key's home answered from its ledger or refused the key. */
 import {ErrorCode, type Outcome} from '@egretspoke/protocol';
 import type {NodeReporter} from './node-reporter.js';
 
-/** The refusals that come from the ledger and not from admission or routing. */
+/** Refusals issued by the ledger, not by admission or routing. */
 const ledgerCodes: ReadonlySet<ErrorCode> = new Set([
 	ErrorCode.KeyExpired,
 	ErrorCode.KeyExpiryRequired,
@@ -13,7 +13,7 @@
 	ErrorCode.StillRunning,
 ]);
 
-/** Reports the ledger's part in an outcome, if it had one. */
+/** Reports an outcome if the ledger determined it. */
 export function reportKey(
 	reporter: NodeReporter,
 	request: string,
--- a/packages/node/src/linked-abort.ts
+++ b/packages/node/src/linked-abort.ts
@@ -1,14 +1,14 @@
-/** An abort that follows others, and lets go of them when its work is done. */
+/** An abort controller that is linked to other signals until its work is done. */
 
 /** A controller whose signal aborts with any of its sources. */
 export type LinkedAbort = {
 	signal: AbortSignal;
 	abort(): void;
-	/** Stops following; without it a long-lived source would hold every request it ever saw. */
+	/** Unlinks the sources; otherwise a long-lived source would retain every request that was linked to it. */
 	release(): void;
 };
 
-/** Without a reason of its own, each abort would build an exception with its stack. */
+/** The default reason would create an exception with its stack for each abort. */
 const abortReason = 'caller gone';
 
 /** Creates an abort linked to the sources that are present. */
--- a/packages/node/src/main.ts
+++ b/packages/node/src/main.ts
@@ -50,7 +50,7 @@
 	}
 }
 
-/** The first signal drains; a second one stops at once and says what it cut. */
+/** The first signal drains; a second one stops immediately and prints the number of cut requests. */
 function drainOnSignals(node: RunningNode): void {
 	let isDraining = false;
 	const stopAtOnce = async () => {
--- a/packages/node/src/member-directory.ts
+++ b/packages/node/src/member-directory.ts
@@ -1,21 +1,21 @@
 /**
- * The members as the request path looks them up. It is rebuilt when members
- * change, some hundred times a day, so that a call costs one look-up however
- * many members there are.
+ * Indexes the members for the request path. It is rebuilt when members change,
+ * some hundred times a day, so that a call costs one look-up regardless of the
+ * number of members.
  */
 import type {Member} from '@egretspoke/protocol';
 import type {RoutingCandidate} from '@egretspoke/decisions';
 
-/** Members by what they are looked up by. */
+/** Members by node, peer address and service. */
 export type MemberDirectory = {
 	byNode(node: string): Member | undefined;
 	/** The node that announced this peer address. */
 	nodeByAddress(peerAddress: string): string | undefined;
-	/** True when some member's target serves it. */
+	/** True when the target of a member provides the service. */
 	isServed(service: string): boolean;
 	/**
-	 * Takes the members as they are now, and gives the candidates of each
-	 * service, an empty list for one that has lost its last.
+	 * Rebuilds the index and returns the candidates of each service, with an empty
+	 * list for a service that has lost its last one.
 	 */
 	update(members: readonly Member[], now: number): CandidatesByService;
 };
--- a/packages/node/src/message-channel.ts
+++ b/packages/node/src/message-channel.ts
@@ -1,7 +1,7 @@
-/** One authenticated connection to a peer, whatever carries it. */
+/** An authenticated connection to a peer, independent of the transport. */
 import type {Message} from '@egretspoke/protocol';
 
-/** Who is at the other end, from the handshake. */
+/** The identity of the peer, from the handshake. */
 export type PeerIdentity = {
 	node: string;
 	incarnation: number;
@@ -18,7 +18,7 @@
 	close(reason: string): void;
 };
 
-/** Opens channels to peers and hands over those that peers open. */
+/** Opens channels to peers and accepts those that peers open. */
 export type PeerTransport = {
 	/** Undefined when the peer can't be reached or refuses the handshake. */
 	connect(
--- a/packages/node/src/message-queue.ts
+++ b/packages/node/src/message-queue.ts
@@ -1,9 +1,9 @@
-/** Messages between the callback that receives them and the task that reads them. */
+/** A queue between the callback that receives messages and the task that reads them. */
 
 /** A queue that is read as an async iterable, by one reader. */
 export type MessageQueue<T> = {
 	push(value: T): void;
-	/** The reader sees what was pushed before, then the end. */
+	/** Ends the queue; the reader still receives what was pushed before. */
 	end(): void;
 	read(): AsyncIterable<T>;
 	length(): number;
--- a/packages/node/src/node-core.ts
+++ b/packages/node/src/node-core.ts
@@ -1,7 +1,7 @@
 /**
- * The core of a node: entry, ingress and peers put together over interfaces,
- * without a listener, a process or a clock of its own. The process puts the
- * real ones in, the fault schedules put in fakes.
+ * The core of a node: entry, ingress and peers, connected through interfaces and
+ * without a listener, process or clock. The process provides real
+ * implementations, the fault schedules provide fakes.
  */
 import {
 	createLedger,
@@ -52,27 +52,27 @@
 import type {Supervisor} from './supervisor.js';
 import type {TargetClient} from './target-client.js';
 
-/** What the core takes from configuration and membership. */
+/** What the core requires from configuration and membership. */
 export type CoreControl = {
-	/** Undefined for a service that nobody configured or announced. */
+	/** Undefined for a service that is neither configured nor announced. */
 	classify(
 		service: string,
 		method: string,
 		path: string,
 	): Classification | undefined;
-	/** All members known, this node included. */
+	/** All known members, including this node. */
 	members(): readonly Member[];
-	/** True after a pause beyond the lease, until the node has announced itself again. */
+	/** True after a pause longer than the lease, until the node has announced itself again. */
 	isSuspended(): boolean;
 	receiveProbe(message: ProbeMessage): AcknowledgementMessage;
 	configurationBody(): ConfigurationBodyMessage | undefined;
 };
 
-/** What a core is built from. */
+/** Dependencies of the core. */
 export type NodeCoreContext = {
 	clock: Clock;
 	random: Random;
-	/** The node and this process's start; the home of the keys it takes. */
+	/** The node and the start of this process; the home of the keys it accepts. */
 	self: Home;
 	dataCentre: string;
 	policy: Policy;
@@ -81,13 +81,13 @@
 	reporter: NodeReporter;
 	control: CoreControl;
 	ledger: Omit<LedgerOptions, 'clock'>;
-	/** Keeps requests that crash targets beyond the life of this process. */
+	/** Persists requests that crash targets beyond the life of this process. */
 	persistSuspects: (suspects: Suspect[]) => void;
-	/** How the home handles a key; only tests take another than `attemptAtMostOnce`. */
+	/** How the home handles a key; only tests use another handler than `attemptAtMostOnce`. */
 	attemptHandler?: AttemptHandler;
 };
 
-/** The target beside the node, once it has announced itself. */
+/** The local target, once it has announced itself. */
 export type CoreTarget = {
 	announcement: TargetAnnouncement;
 	client: TargetClient;
@@ -99,21 +99,21 @@
 	peers: Peers;
 	ledger: Ledger;
 	quarantine: NodeQuarantine;
-	/** Requests in progress here, of callers and of other nodes, each counted once. */
+	/** Number of requests in progress, of callers and of other nodes, each counted once. */
 	openRequests(): number;
 	/** Undefined until the target has announced itself. */
 	ingress(): Ingress | undefined;
-	/** Takes the target's announcement; a second one replaces the first. */
+	/** Applies the announcement of the target; a second one replaces the first. */
 	announce(target: CoreTarget): void;
-	/** To be called when members have changed in more than their heartbeat. */
+	/** To be called when members have changed in more than their heartbeats. */
 	membersChanged(): void;
-	/** True when some member's target serves it. */
+	/** True when the target of a member provides the service. */
 	isServed(service: string): boolean;
-	/** No new work for the target from now on; the entry still serves. */
+	/** Stops new work for the target; the entry still serves callers. */
 	leave(): void;
-	/** The target takes work again after a `leave`. */
+	/** Resumes work for the target after a `leave`. */
 	rejoin(): void;
-	/** Refuses everything new, and resolves when nothing is in flight. */
+	/** Refuses all new requests, and resolves when none is in flight. */
 	drain(): Promise<void>;
 };
 
@@ -249,7 +249,7 @@
 		entry,
 		ingress: () => ingress,
 		announce(target) {
-			// Requests at the target go on under the old limits to their ends.
+			// Requests already at the target finish under the old limits.
 			ingress?.leave();
 			ingress = createTargetIngress(context, target, {
 				running,
--- a/packages/node/src/node-instruments.ts
+++ b/packages/node/src/node-instruments.ts
@@ -1,4 +1,4 @@
-/** The log, the metrics and the memory of decisions of one node, and the reporter over them. */
+/** The log, the metrics and the decision memory of one node, and the reporter that writes to them. */
 import process from 'node:process';
 import {
 	createDecisionMemory,
@@ -15,7 +15,7 @@
 import {createObservingReporter} from './observing-reporter.js';
 import type {NodeSettings} from './settings.js';
 
-/** What a node observes itself with. */
+/** The observability of one node. */
 export type NodeInstruments = {
 	log: EventLog;
 	metrics: Metrics;
@@ -23,7 +23,7 @@
 	reporter: NodeReporter;
 };
 
-/** Creates the instruments; `read` gives the readings of the gauges. */
+/** Creates the instruments; `read` returns the values of the gauges. */
 export function createNodeInstruments(
 	settings: NodeSettings,
 	clock: Clock,
--- a/packages/node/src/node-quarantine.ts
+++ b/packages/node/src/node-quarantine.ts
@@ -1,4 +1,7 @@
-/** The quarantine of a node: by calls, over connections to peers and the platform's table. */
+/**
+ * The quarantine of a node. Crash records are shared over the connections to
+ * peers and the platform's table.
+ */
 import type {Member, SuspectsMessage} from '@egretspoke/protocol';
 import {
 	createQuarantine,
@@ -14,7 +17,7 @@
 import {createTicks, sample, type Clock, type Random} from '@egretspoke/shared';
 import type {NodeReporter} from './node-reporter.js';
 
-/** The parts of a call by which it is known. */
+/** The parts of a call that identify it. */
 export type CallIdentity = {
 	service: string;
 	method: string;
@@ -23,26 +26,26 @@
 	body: Uint8Array;
 };
 
-/** What the quarantine needs. */
+/** Dependencies of the quarantine. */
 export type NodeQuarantineOptions = {
 	clock: Clock;
 	random: Random;
 	reporter: NodeReporter;
-	/** All members known, this node included. */
+	/** All known members, including this node. */
 	members: () => readonly Member[];
 	/** This node's name. */
 	self: string;
 	sendSuspects: (address: string, message: SuspectsMessage) => void;
-	/** Keeps suspects beyond the life of this process. */
+	/** Persists suspects beyond the life of this process. */
 	persistSuspects: (suspects: Suspect[]) => void;
 	signal: AbortSignal;
 };
 
 /** The quarantine. */
 export type NodeQuarantine = {
-	/** What is known of the call; undefined when no target crashed under it. */
+	/** The suspect record of the call; undefined when no target crashed while running it. */
 	lookUp(call: CallIdentity): Suspect | undefined;
-	/** Whether no target is to run the call any more; tells so if it is. */
+	/** Whether the call is quarantined, so that no target may run it; if so, the decision is recorded. */
 	blocks(call: CallIdentity & {id: string}): boolean;
 	recordCrash(runs: CrashedRun[]): Suspect[];
 	recordAnswer(call: CallIdentity): void;
@@ -51,10 +54,10 @@
 	initialMessage(): SuspectsMessage | undefined;
 };
 
-/** Members to which news of another node are passed on. */
+/** Number of members to which an update from another node is forwarded. */
 const gossipFanout = 6;
 
-/** Creates the quarantine of a node that has heard of nothing. */
+/** Creates an empty quarantine. */
 export function createNodeQuarantine(
 	options: NodeQuarantineOptions,
 ): NodeQuarantine {
@@ -127,7 +130,7 @@
 	};
 }
 
-/** The parts of a call that a repeat of it shares, whatever its id and its key. */
+/** The parts of a call that its repeats share, independent of their id and key. */
 export function toRequestParts({
 	service,
 	method,
--- a/packages/node/src/node-readings.ts
+++ b/packages/node/src/node-readings.ts
@@ -1,12 +1,12 @@
-/** What the gauges of a node show at the moment when they are collected. */
+/** Reads the values of the gauges of a node when they are collected. */
 import type {Control} from '@egretspoke/control';
 import type {NodeReadings} from '@egretspoke/observability';
 import type {NodeCore} from './node-core.js';
 
-/** The parts that are read; they come into being one after another. */
+/** The sources of the gauges; they are created one after another at the start. */
 export type GaugeSources = {control?: Control; core?: NodeCore};
 
-/** Reads the parts; one that isn't there yet counts as empty. */
+/** Reads the sources; one that does not exist yet counts as empty. */
 export function readGauges(
 	{control, core}: GaugeSources,
 	logLinesDropped: number,
--- a/packages/node/src/node-reporter.ts
+++ b/packages/node/src/node-reporter.ts
@@ -1,7 +1,7 @@
-/** What the node's core tells the log, the metrics and `explain`; one door for all three. */
+/** What the core reports to the log, the metrics and `explain`, through one interface. */
 import type {Outcome, RequestClass} from '@egretspoke/protocol';
 
-/** The decisions that get a line each. */
+/** Decisions that are logged on a line each. */
 export type DecisionName =
 	| 'entryRefused'
 	| 'routed'
@@ -29,7 +29,7 @@
 	details?: Record<string, string | number>;
 };
 
-/** What happened outside of any one request. */
+/** An event that belongs to no single request. */
 export type NodeEvent =
 	| {name: 'lateAnswer'; peer: string}
 	| {name: 'malformedMessage'; detail: string}
@@ -51,7 +51,7 @@
 	| {name: 'platformReachable'}
 	| {name: 'platformUnreachable'; detail: string};
 
-/** A request's end, for the metrics. */
+/** The end of a request, for the metrics. */
 export type RequestEnd = {
 	request: string;
 	service: string;
@@ -62,16 +62,16 @@
 	role: 'entry' | 'target';
 };
 
-/** Where the core reports; none of its functions may block or throw. */
+/** Receives the reports of the core; none of its functions may block or throw. */
 export type NodeReporter = {
 	recordDecision(decision: Decision): void;
 	recordEvent(event: NodeEvent): void;
 	recordRequestEnd(end: RequestEnd): void;
-	/** Milliseconds that a dispatched request had waited. */
+	/** Records for how many milliseconds a dispatched request had waited. */
 	waited(service: string, delay: number): void;
 };
 
-/** A reporter that keeps nothing. */
+/** A reporter that discards everything. */
 export const silentReporter: NodeReporter = {
 	recordDecision: () => undefined,
 	recordEvent: () => undefined,
--- a/packages/node/src/observing-reporter.ts
+++ b/packages/node/src/observing-reporter.ts
@@ -1,4 +1,4 @@
-/** The reporter of a running node: log, metrics and decision memory behind one door. */
+/** The reporter of a running node: writes to the log, the metrics and the decision memory. */
 import type {
 	DecisionMemory,
 	EventLog,
@@ -14,7 +14,7 @@
 	NodeReporter,
 } from './node-reporter.js';
 
-/** Where the reports go. */
+/** Destinations of the reports. */
 export type ObservingReporterOptions = {
 	log: EventLog;
 	metrics: Metrics;
@@ -27,7 +27,7 @@
 	event: Extract<NodeEvent, {name: Name}>,
 ) => void;
 
-/** The notices that are counted besides being logged. */
+/** Events that are counted in addition to being logged. */
 const eventCounters: {
 	[Name in NodeEvent['name']]?: CountEvent<Name>;
 } = {
@@ -53,7 +53,7 @@
 	},
 };
 
-/** The decisions that are counted besides being logged. */
+/** Decisions that are counted in addition to being logged. */
 const decisionCounters: Partial<
 	Record<DecisionName, (metrics: Metrics, service: string) => void>
 > = {
--- a/packages/node/src/pause-watch.ts
+++ b/packages/node/src/pause-watch.ts
@@ -1,34 +1,34 @@
 /**
- * How old what has just been read may be.
+ * Estimates the age of data that has just been read, from pauses of the process.
  *
- * A message says how much time its request has left, counted from its sending.
- * What goes wrong without this: a VM is frozen with requests in its sockets,
- * their callers give up, and it wakes and runs every one of them as if it had
- * just been sent. One notices a booking that appears after it was given up,
- * and a burst of useless work after each pause. The same happens, smaller, when
- * the event loop is late. A tick that comes late shows both; what was read
- * since the tick before it may have waited for as long as that.
+ * A message states how much time its request has left, counted from its sending.
+ * When a VM is frozen with requests in its sockets, their callers give up, and
+ * the VM would run every one of them after its wake-up as if it had just been
+ * sent: a booking appears after it was given up, and a burst of useless work
+ * follows each pause. A late event loop does the same on a smaller scale. Both
+ * make a tick late; data read since the previous tick may have waited for that
+ * long.
  */
 import type {Clock} from '@egretspoke/shared';
 
-/** Watches for pauses of the process. */
+/** Detects pauses of the process. */
 export type PauseWatch = {
-	/** Milliseconds for which what is read now may have waited; 0 in ordinary running. */
+	/** Upper bound in milliseconds on the age of data that is read now; 0 in normal operation. */
 	maxMessageAge(): number;
 };
 
-/** Milliseconds between ticks: twenty wake-ups a second are some 0.1% of a core. */
+/** Milliseconds between ticks; twenty wake-ups a second cost about 0.1% of a core. */
 const tickInterval = 50;
-/** A gap up to this is an ordinary delay of timers. */
+/** Largest gap in milliseconds that is a normal delay of timers. */
 const maxNormalGap = 3 * tickInterval;
 
-/** Starts the watch; it ends with the signal. */
+/** Starts the watch; it stops when the signal aborts. */
 export function createPauseWatch(
 	clock: Clock,
 	signal: AbortSignal,
 ): PauseWatch {
 	let lastTick = clock.now();
-	/** After a wake a tick may come before the sockets are read, so its gap counts until the next. */
+	/** After a pause a tick may fire before the sockets are read, so its gap counts until the next tick. */
 	let lastGap = 0;
 
 	const tick = () => {
--- a/packages/node/src/peer-connection.ts
+++ b/packages/node/src/peer-connection.ts
@@ -20,15 +20,15 @@
 import type {MessageChannel, PeerIdentity} from './message-channel.js';
 import type {NodeReporter} from './node-reporter.js';
 
-/** What a node does for its peers. */
+/** The services that a node provides to its peers. */
 export type PeerServices = {
 	reporter: NodeReporter;
 	call(message: CallMessage, signal: AbortSignal): Promise<ExchangeResult>;
 	probe(message: ProbeMessage): AcknowledgementMessage;
 	configurationBody(): ConfigurationBodyMessage | undefined;
-	/** Takes what a peer knows of requests that crash targets. */
+	/** Receives suspects: requests that crash targets. */
 	receiveSuspects(message: SuspectsMessage): void;
-	/** The same for a peer that has just been reached; undefined when there is nothing. */
+	/** The suspects to send when a connection opens; undefined when there are none. */
 	initialMessage(): SuspectsMessage | undefined;
 };
 
@@ -40,12 +40,12 @@
 		options: {role: CallMessage['role']; home?: string},
 		signal: AbortSignal,
 	): Promise<ExchangeResult>;
-	/** Undefined when no acknowledgement came before the signal or the close. */
+	/** Undefined when no acknowledgement arrived before the signal aborted or the channel closed. */
 	probe(
 		probe: Omit<ProbeMessage, 'type' | 'sequence'>,
 		signal: AbortSignal,
 	): Promise<AcknowledgementMessage | undefined>;
-	/** Undefined when no body came before the signal or the close. */
+	/** Undefined when no body arrived before the signal aborted or the channel closed. */
 	requestConfiguration(
 		signal: AbortSignal,
 	): Promise<ConfigurationBodyMessage | undefined>;
@@ -53,13 +53,13 @@
 	/** Serves the peer until the channel closes. */
 	serve(): Promise<void>;
 	close(reason: string): void;
-	/** Exchanges and probes that are open in either direction. */
+	/** Number of exchanges and probes that are open in either direction. */
 	openExchanges(): number;
-	/** Messages received so far; a connection that gains none is idle. */
+	/** Number of messages received; a connection on which it does not change is idle. */
 	received(): number;
 };
 
-/** Calls that one peer may have open here; more are refused as overload. */
+/** Maximum number of open calls of one peer; more are refused as overload. */
 const openCallLimit = 4096;
 
 type Handlers = {
@@ -153,7 +153,7 @@
 			settle(undefined);
 		}
 
-		// The callers of these requests are at the other end, which is gone.
+		// The callers of these requests are at the other end of the closed channel.
 		for (const stop of served.values()) {
 			stop.abort();
 		}
--- a/packages/node/src/peer-handshake.ts
+++ b/packages/node/src/peer-handshake.ts
@@ -1,11 +1,12 @@
 /**
- * The handshake of two nodes: each sends a hello with random bytes and signs
- * the other's with the shared secret.
+ * The handshake of two nodes: each sends a hello with random bytes and signs the
+ * other's with the shared secret.
  *
- * What goes wrong without it: whatever can reach the peer port can hand over
- * requests past the entry's checks, or spread members and configurations. One
- * notices members nobody started. The signature covers the signer's side and
- * name and the other's challenge, so a recorded or reflected one is of no use.
+ * Without it, any process that can reach the peer port could hand over requests
+ * past the checks of the entry, or inject members and configurations, which
+ * shows as members that were never started. The signature covers the signer's
+ * side and name and the other's challenge, so a recorded or reflected signature
+ * is useless.
  */
 import {Buffer} from 'node:buffer';
 import {createHmac, randomBytes, timingSafeEqual} from 'node:crypto';
@@ -23,17 +24,20 @@
 /** One side's progress through a handshake. */
 export type Handshake = {
 	hello: Extract<Message, {type: 'hello'}>;
-	/** Takes the next message of the other side. */
+	/** Handles the next message of the other side. */
 	receive(message: Message): Result<HandshakeStep, HandshakeFailure>;
 };
 
-/** What to do after a message: send one, or the peer is known. */
+/** The next step after a message: send one, or finish with the authenticated peer. */
 export type HandshakeStep =
 	{kind: 'send'; message: Message} | {kind: 'done'; peer: PeerIdentity};
 
 const challengeBytes = 16;
 
-/** Creates one side; the identity may change between handshakes, so it is asked for. */
+/**
+ * Creates one side of a handshake. The identity is passed for each handshake
+ * because it may change between them.
+ */
 export function createHandshake(
 	side: HandshakeSide,
 	self: PeerIdentity,
--- a/packages/node/src/peers.ts
+++ b/packages/node/src/peers.ts
@@ -1,7 +1,7 @@
 /**
  * The connections to peers, one task each. A connection is opened when it is
- * first needed and shared by calls, probes and configurations; one that a peer
- * opened serves both directions too.
+ * first needed and shared by calls, probes and configurations. A connection
+ * opened by a peer is also used in both directions.
  */
 import type {
 	AcknowledgementMessage,
@@ -21,7 +21,7 @@
 } from './peer-connection.js';
 import type {Supervisor} from './supervisor.js';
 
-/** A peer to be reached. */
+/** A peer and its address. */
 export type PeerAddress = {node: string; peerAddress: string};
 
 /** All peers of a node. */
@@ -37,18 +37,18 @@
 		probe: Omit<ProbeMessage, 'type' | 'sequence'>,
 		signal: AbortSignal,
 	): Promise<AcknowledgementMessage | undefined>;
-	/** Undefined when the peer is unreachable, or knows no accepted version. */
+	/** Undefined when the peer is unreachable or has no accepted version. */
 	requestConfiguration(
 		address: string,
 		signal: AbortSignal,
 	): Promise<ConfigurationBodyMessage | undefined>;
-	/** Tells a peer, if it can be reached. */
+	/** Sends suspects to a peer if it can be reached. */
 	sendSuspects(address: string, message: SuspectsMessage): Promise<void>;
 	count(): number;
 	close(): void;
 };
 
-/** What the peers are built from. */
+/** Dependencies of the peers. */
 export type PeersContext = {
 	/** This node's name. */
 	self: string;
@@ -62,27 +62,27 @@
 
 /**
  * Milliseconds after a failed connect during which the peer counts as
- * unreachable without another try. Without it each request to a dead VM pays a
- * connect of its own until membership has noticed.
+ * unreachable without another attempt. Otherwise each request to a dead VM would
+ * wait for a connect of its own until membership detects the failure.
  */
 const reconnectCooldown = 200;
 
 /**
  * Milliseconds without an exchange after which a connection is closed. Every
- * node probes every other now and then, so without it each of N nodes would
- * keep N connections and their buffers for good.
+ * node probes every other from time to time, so each of N nodes would otherwise
+ * keep N connections and their buffers open permanently.
  */
 const idleTime = 300_000;
 const idleCheckInterval = 30_000;
 
 type OpenPeer = {
 	connection: PeerConnection;
-	/** Messages received when it was last looked at, and since when it has gained none. */
+	/** Messages received at the last idle check; `idleSince` is when that number last changed. */
 	received: number;
 	idleSince: number;
 };
 
-/** Creates the peers; connections that peers open are served from now on. */
+/** Creates the peers and starts to serve connections that peers open. */
 export function createPeers(context: PeersContext): Peers {
 	const {clock, transport, services, supervisor} = context;
 	const byNode = new Map<string, OpenPeer>();
@@ -96,8 +96,9 @@
 		const {node} = channel.peer;
 		const open: OpenPeer = {connection, received: 0, idleSince: clock.now()};
 		all.add(open);
-		// Two nodes that open at once get two connections. Both sides use the
-		// one that the lower name opened, and the other falls idle.
+		// Two nodes that connect to each other at the same time get two
+		// connections. Both sides use the one opened by the lower name, and the
+		// other becomes idle.
 		if (!byNode.has(node) || isOpener === context.self < node) {
 			byNode.set(node, open);
 		}
@@ -194,8 +195,8 @@
 		async call(peer, request, options, signal) {
 			const known = byNode.get(peer.node)?.connection;
 			const connection = known ?? (await connect(peer.peerAddress));
-			// An address can have passed to another node: a call for one must
-			// never run at the other under a false name.
+			// The address may have passed to another node. A call for one node must
+			// never run at another.
 			return connection?.peer.node === peer.node
 				? connection.call(request, options, signal)
 				: createUnsentResult();
--- a/packages/node/src/request-body.ts
+++ b/packages/node/src/request-body.ts
@@ -1,17 +1,17 @@
-/** Reads a request's body whole, within a limit. */
+/** Reads the whole body of a request within a limit. */
 import {Buffer} from 'node:buffer';
 import type {IncomingMessage} from 'node:http';
 import {err, ok, type Result} from 'neverthrow';
 import type {BodyBudget} from './body-budget.js';
 
-/** Why there is no whole body. */
+/** Why a body could not be read completely. */
 export type BodyFault = 'tooLarge' | 'cutShort' | 'noRoom';
 
 const empty = new Uint8Array(0);
 
 /**
- * Resolves always. A body over the limit isn't read to its end. The bytes of a
- * whole body stay taken from the budget until the caller gives them back.
+ * Always resolves. A body over the limit isn't read to its end. The bytes of a
+ * whole body stay reserved in the budget until the caller releases them.
  */
 export async function readBody(
 	request: IncomingMessage,
@@ -59,7 +59,7 @@
 		};
 
 		request.on('data', onData).on('end', finish).on('close', cut);
-		// The close that follows an error tells of it.
+		// The `close` event that follows an error is handled instead.
 		request.on('error', () => undefined);
 	});
 }
--- a/packages/node/src/request-chain.ts
+++ b/packages/node/src/request-chain.ts
@@ -1,6 +1,6 @@
 /**
- * What a request is within its chain: made anew at a first entry, or drawn
- * from the request that the node's own target is running.
+ * Places a request in its chain: starts a new chain at a first entry, or derives
+ * the request from the one that the local target is running.
  */
 import {createHash, randomUUID} from 'node:crypto';
 import {
@@ -15,7 +15,7 @@
 import {readOperation} from './call-facts.js';
 import type {ChainAllocation, RunningRequests} from './running-requests.js';
 
-/** What the configuration in force says of a request. */
+/** The rules that the current configuration sets for a request. */
 export type Classification = {
 	requestClass: RequestClass;
 	idempotent: boolean;
@@ -25,19 +25,20 @@
 	attempts: number;
 };
 
-/** A request as the entry node carries it. */
+/** A request as handled by the entry node. */
 export type EntryCall = {
 	request: CallRequest;
 	operation: string;
 	/** Monotonic milliseconds. */
 	deadline: number;
-	/** Present when the node's own target made the call. */
+	/** Present when the local target made the call. */
 	allocation?: ChainAllocation;
 };
 
 /**
- * Places a request in its chain, or says why its chain allows it nothing more.
- * The age is the time for which it may have waited to be read, in milliseconds.
+ * Places a request in its chain, or returns a refusal when the chain has no
+ * attempts or no time left. The age is the time for which it may have waited to
+ * be read, in milliseconds.
  */
 export function createEntryCall(
 	incoming: CallerRequest,
@@ -91,7 +92,7 @@
 	});
 }
 
-/** Tells a repeat of a deeper call from another call of the same kind. */
+/** Distinguishes a repeat of a downstream call from another call of the same kind. */
 function digestCall({method, path, key, body}: CallerRequest): string {
 	const digest =
 		body.length === 0 ? '' : createHash('sha1').update(body).digest('base64');
--- a/packages/node/src/running-requests.ts
+++ b/packages/node/src/running-requests.ts
@@ -1,45 +1,46 @@
 /**
- * The requests that run at this node's own target. A call that the target
- * makes deeper names the request it serves; its class, deadline and attempts
- * come from here and not from what the target says.
+ * The requests that are running at the local target. A call made by the target
+ * names the request it serves; its class, deadline and attempts come from this
+ * table and not from what the target states.
  *
- * What goes wrong without it: a target that forwards no headers, or retries
- * three times by itself, starts every deeper call with fresh attempts and a
- * fresh deadline, and each layer multiplies the load on the next. One notices
- * more calls at the deepest service than requests at the top. Here all calls
- * of one running request draw from one pool, and end with it.
+ * A target that forwards no headers, or that retries three times itself, would
+ * otherwise start every downstream call with fresh attempts and a fresh
+ * deadline. Each layer would multiply the load on the next, so that the deepest
+ * service gets more calls than there are requests at the top. Here all calls of
+ * one running request draw from one pool, and end with it.
  */
 import type {RequestClass} from '@egretspoke/protocol';
 import {createLinkedAbort, type LinkedAbort} from './linked-abort.js';
 
-/** A request while its target runs it. */
+/** A request that is running at the target. */
 export type RunningRequest = {
 	id: string;
 	requestClass: RequestClass;
-	/** Who made the first call of the chain; fair shares are counted by it at every layer. */
+	/** The caller that started the chain; fair shares are counted by it at every layer. */
 	caller: string;
 	/** Monotonic milliseconds. */
 	deadline: number;
-	/** Attempts beyond the first of each call that the calls below may still use. */
+	/** Attempts that downstream calls may still use, beyond the first attempt of each call. */
 	spareAttempts: number;
-	/** How often each deeper call may be made anew before its repeats draw on the pool. */
+	/** How often each downstream call was made; repeats draw on the pool. */
 	callsMade: Map<string, number>;
 	/** Aborts when its caller gives up. */
 	signal: AbortSignal;
 };
 
-/** A running request with what its deeper calls share. */
+/** A running request with the state that its downstream calls share. */
 type SharedRun = RunningRequest & {
-	/** A chain that comes back to its own service runs here more than once at a time. */
+	/** Runs in progress; more than one when a chain calls its own service again. */
 	count: number;
-	/** Made with the first deeper call: most requests make none. */
+	/** Aborts the downstream calls. Created with the first one, because most requests make none. */
 	downstreamAbort?: LinkedAbort;
 };
 
 /**
- * What a deeper call gets of its parent's. The class is the one stamped at the
- * first entry: work for a deferrable request is never raised, and a payment
- * isn't refused half-way for a look-up that counts as normal by itself.
+ * What a downstream call receives from its parent request. The class is the one
+ * assigned at the first entry: work for a deferrable request is never raised,
+ * and a payment isn't refused half-way because of a look-up that counts as
+ * normal by itself.
  */
 export type ChainAllocation = {
 	caller: string;
@@ -47,7 +48,7 @@
 	deadline: number;
 	attempts: number;
 	signal: AbortSignal;
-	/** Gives back attempts that weren't used. */
+	/** Returns unused attempts to the pool. */
 	returnUnused(attempts: number): void;
 };
 
@@ -55,7 +56,7 @@
 export type RunningRequests = {
 	add(request: RunningRequest): void;
 	remove(id: string): void;
-	/** Undefined when no such request runs here; `spent` when its attempts are. */
+	/** Undefined when no such request is running here; `spent` when its attempts are used up. */
 	allocate(
 		id: string,
 		call: {service: string; operation: string},
@@ -116,9 +117,9 @@
 }
 
 /**
- * The first call of an operation is free; a repeat of it, which a target that
- * retries by itself makes, pays from the pool like any other retry. Half of
- * what is left goes with the call, so that its siblings have some too.
+ * The first call of an operation is free. A repeat of it, as made by a target
+ * with its own retries, is charged to the pool like any other retry. A first
+ * call receives half of what is left, so that its siblings get some too.
  */
 function allocateAttempts(parent: RunningRequest, operation: string): number {
 	const made = parent.callsMade.get(operation) ?? 0;
--- a/packages/node/src/settings-address.ts
+++ b/packages/node/src/settings-address.ts
@@ -9,7 +9,7 @@
 const addressPattern =
 	/^(?:\[(?<bracketed>[^\]]+)\]|(?<plain>[^:]+)):(?<port>\d{1,5})$/u;
 
-/** Reads `10.0.0.1:7400` or `[::1]:7400`; undefined when it isn't one. */
+/** Parses `10.0.0.1:7400` or `[::1]:7400`; undefined for any other text. */
 export function parseAddress(text: string): Address | undefined {
 	const groups = addressPattern.exec(text)?.groups;
 	if (!groups) {
@@ -22,7 +22,7 @@
 	return isIP(host) === family && port <= maxPort ? {host, port} : undefined;
 }
 
-/** The text that `parseAddress` reads. */
+/** Formats an address so that `parseAddress` can read it. */
 export function formatAddress({host, port}: Address): string {
 	return host.includes(':') ? `[${host}]:${port}` : `${host}:${port}`;
 }
--- a/packages/node/src/settings-check.ts
+++ b/packages/node/src/settings-check.ts
@@ -1,6 +1,6 @@
 /**
- * Faults between several keys of the settings. They are looked for in the raw
- * document, so that they are reported together with what the schema finds.
+ * Checks conflicts between several keys of the settings. The checks read the raw
+ * document, so that they are reported together with the findings of the schema.
  */
 import {parseDuration, type DocumentIssue} from '@egretspoke/shared';
 import {parseAddress, type Address} from './settings-address.js';
@@ -10,7 +10,7 @@
 
 const wildcardHosts = new Set(['0.0.0.0', '::']);
 
-/** Every fault between keys; an absent listener counts with its default. */
+/** Finds every conflict between keys; an absent listener counts with its default. */
 export function checkNodeSettings(
 	value: unknown,
 	defaults: Record<Listener, string>,
@@ -25,9 +25,9 @@
 }
 
 /**
- * Two listeners on one port: the node would fail at its start with the second
- * one's address in use. A target on a listener's port would make the node send
- * its requests to itself.
+ * Two listeners on one port would make the node fail at its start, because the
+ * second address is in use. A target on a listener's port would make the node
+ * send its requests to itself.
  */
 function checkConflicts(placed: LocatedAddress[]): DocumentIssue[] {
 	return placed.flatMap((each, index) => {
@@ -47,7 +47,7 @@
 	});
 }
 
-/** Peers that are told 0.0.0.0 would connect to themselves. */
+/** Peers to which 0.0.0.0 is advertised would connect to themselves. */
 function checkAdvertised(
 	value: unknown,
 	listeners: LocatedAddress[],
@@ -66,7 +66,7 @@
 		}));
 }
 
-/** Without a secret, whoever reaches the listener could act as peer or operator. */
+/** Without a secret, any process that reaches the listener could act as peer or operator. */
 function checkSecrets(
 	value: unknown,
 	listeners: LocatedAddress[],
--- a/packages/node/src/settings.ts
+++ b/packages/node/src/settings.ts
@@ -1,6 +1,6 @@
 /**
- * The settings of a node, written in YAML. This schema is the only place that
- * knows a key; the types, the findings and docs/SETTINGS.md follow from it.
+ * The settings of a node, written in YAML. This schema is the only definition of
+ * the keys; the types, the findings and docs/SETTINGS.md follow from it.
  */
 import {
 	createDurationSchema,
@@ -20,7 +20,7 @@
 const megabyte = 1024 * kilobyte;
 const minSecretLength = 16;
 
-/** The listeners of a node that names none: loopback, three ports in a row. */
+/** Default addresses of the listeners: loopback, on three consecutive ports. */
 export const defaultListeners = {
 	caller: '127.0.0.1:7400',
 	peer: '127.0.0.1:7401',
@@ -51,15 +51,15 @@
 });
 
 const advertiseSchema = z.strictObject({
-	/** What callers are told, when it isn't the listener's own address. */
+	/** The address advertised to callers, when it isn't the listener's own. */
 	caller: addressSchema.optional(),
-	/** What other nodes are told, when it isn't the listener's own address. */
+	/** The address advertised to other nodes, when it isn't the listener's own. */
 	peer: addressSchema.optional(),
 });
 
 const platformSchema = z.strictObject({
 	address: webAddress,
-	/** After this long a call to the platform has no known result. */
+	/** Timeout of a call to the platform, after which its result is unknown. */
 	timeout: duration.default(2 * second),
 	/** Sent to the platform as bearer token. */
 	credential: z.string().optional(),
@@ -74,7 +74,7 @@
 });
 
 const targetSchema = z.strictObject({
-	/** Where the target beside the node listens. */
+	/** The address on which the local target listens. */
 	address: addressSchema,
 	/** For a target that can't announce itself; the node announces it then. */
 	announcement: announcementSchema.optional(),
@@ -116,13 +116,13 @@
 });
 
 const timingsSchema = z.strictObject({
-	/** A node that was paused longer announces itself afresh. */
+	/** A node that was paused for longer announces itself again. */
 	lease: duration.default(3 * second),
-	/** Between two probes of a peer. */
+	/** The interval between two probes of a peer. */
 	probe: duration.default(second),
-	/** Between two reads of the accepted version, spread by a jitter. */
+	/** The interval between two reads of the accepted version, with jitter. */
 	configurationRead: duration.default(2 * second),
-	/** The longest that a planned stop waits for requests in flight. */
+	/** The maximum time for which a planned stop waits for requests in flight. */
 	drain: duration.default(30 * second),
 });
 
@@ -136,7 +136,7 @@
 	advertise: advertiseSchema.prefault({}),
 	platform: platformSchema,
 	target: targetSchema.optional(),
-	/** Peer listeners to try first; the table knows the others. */
+	/** Peer listeners to try first; the others are read from the table. */
 	peers: z.array(addressSchema).default([]),
 	secrets: secretsSchema.prefault({}),
 	limits: limitsSchema.prefault({}),
--- a/packages/node/src/start-failure.ts
+++ b/packages/node/src/start-failure.ts
@@ -3,7 +3,7 @@
 
 type SystemError = Error & {code?: string; address?: string; port?: number};
 
-/** What each of the system's codes means for a listener. */
+/** Explanations of system error codes, for a listener. */
 const explanations: Record<string, string> = {
 	/* eslint-disable @typescript-eslint/naming-convention -- the system's names. */
 	EADDRINUSE: 'is taken by another process; choose another port',
@@ -12,7 +12,7 @@
 	/* eslint-enable @typescript-eslint/naming-convention */
 };
 
-/** One line that names the listener and what to do. */
+/** Returns one line that names the listener and what to do. */
 export function explainStartFailure(
 	error: unknown,
 	{listeners}: NodeSettings,
--- a/packages/node/src/start-node.ts
+++ b/packages/node/src/start-node.ts
@@ -1,6 +1,6 @@
 /**
- * Starts one node from its settings: the core, control and the three
- * listeners, and stops them in the order that cuts nothing.
+ * Starts one node from its settings: the core, control and the three listeners.
+ * Stops them in an order that cuts no requests.
  */
 import {createHash} from 'node:crypto';
 import {
@@ -36,13 +36,13 @@
 	type WebSocketTransport,
 } from './web-socket-transport.js';
 
-/** A node that serves. */
+/** A running node. */
 export type RunningNode = {
-	/** The addresses that its listeners boundPort, `ip:port`. */
+	/** The addresses that its listeners are bound to, `ip:port`. */
 	addresses: {caller: string; peer: string; admin: string};
 	/** A planned stop: resolves with the number of requests that were cut. */
 	drain(): Promise<number>;
-	/** Stops at once; the number of requests that were cut. */
+	/** Stops immediately; resolves with the number of requests that were cut. */
 	stop(): Promise<number>;
 };
 
@@ -52,16 +52,16 @@
 	policy?: Policy;
 };
 
-/** Bytes that a message may have beyond its body: headers and its envelope. */
+/** Maximum bytes of a message besides its body, for headers and envelope. */
 const envelopeLimit = 256 * 1024;
-/** Peers that may shake hands at once: a data centre's worth after a restart. */
+/** Maximum concurrent handshakes: all peers of a data centre after a restart. */
 const handshakeLimit = 128;
 const anyFreePort = 0;
 
 /**
- * Starts a node. It rejects with Node's own error when a listener can't have
- * its port; an unreachable platform is no error, since a data centre that is
- * cut off has to serve what it can.
+ * Starts a node. Rejects with Node's error when a listener can't bind its port.
+ * An unreachable platform is no error, because a data centre that is cut off has
+ * to serve what it can.
  */
 export async function startNode(
 	settings: NodeSettings,
@@ -190,8 +190,9 @@
 }
 
 /**
- * Nodes that start in the same millisecond, as after a power cut, would
- * otherwise read the platform and probe their peers in step.
+ * The seed depends on the name, because nodes that start in the same
+ * millisecond, as after a power cut, would otherwise read the platform and probe
+ * their peers in step.
  */
 function createSeed(node: string, startedAt: number): number {
 	return createHash('sha256')
@@ -221,7 +222,10 @@
 	});
 }
 
-/** Control as the core sees it; it is asked for because core and control need each other. */
+/**
+ * The interface of the core to control. It takes a function because core and
+ * control depend on each other.
+ */
 function createCoreControl(
 	control: () => Control,
 	isServed: (service: string) => boolean,
--- a/packages/node/src/supervisor.ts
+++ b/packages/node/src/supervisor.ts
@@ -1,11 +1,12 @@
 /**
  * The supervisor tree. A child is one task; a child that fails is restarted
- * alone, after a delay that doubles up to a ceiling, while its siblings go on.
+ * alone, after a delay that doubles up to a maximum, while its siblings
+ * continue.
  *
- * What goes wrong without it: an unexpected error in one peer's task ends the
- * process, and every request in flight is cut. One notices restarts of nodes
- * that follow a single bad peer. Here the error stays with its task, is
- * reported, and the task starts afresh.
+ * Without it, an unexpected error in the task of one peer would end the process
+ * and cut every request in flight, so that nodes restart because of a single bad
+ * peer. Here the error is confined to its task and reported, and the task is
+ * restarted.
  */
 import {setMaxListeners} from 'node:events';
 import {sleep, type Clock} from '@egretspoke/shared';
@@ -22,13 +23,13 @@
 	restartIn: number;
 };
 
-/** A point of the tree that starts and stops children. */
+/** A node of the tree that starts and stops children. */
 export type Supervisor = {
-	/** Aborts when this point of the tree stops. */
+	/** Aborts when this supervisor stops. */
 	signal: AbortSignal;
 	/** Starts a task and restarts it when it fails. */
 	start(name: string, task: Task): void;
-	/** A supervisor below this one; it stops with it. */
+	/** Creates a supervisor below this one, which stops with it. */
 	branch(name: string): Supervisor;
 	/** Stops one child and waits for its end. */
 	stopChild(name: string): Promise<void>;
@@ -38,7 +39,7 @@
 
 const minRestartDelayMs = 50;
 const maxRestartDelayMs = 5000;
-/** A task that ran this long in milliseconds counts as healthy again. */
+/** A task that ran longer than this, in milliseconds, counts as healthy, and its delay is reset. */
 const healthyRunMs = 10_000;
 
 /** Creates the root of a tree. */
@@ -52,7 +53,8 @@
 	const signal = parent
 		? AbortSignal.any([parent, stopping.signal])
 		: stopping.signal;
-	// Every task below waits on this signal; Node would call eleven of them a leak.
+	// Every task below listens to this signal; Node reports eleven listeners as a
+	// leak.
 	setMaxListeners(0, signal);
 	const children = new Map<
 		string,
--- a/packages/node/src/target-announcement.ts
+++ b/packages/node/src/target-announcement.ts
@@ -1,7 +1,7 @@
 /**
- * The call by which the target beside the node announces itself:
- * `POST /.egretspoke/announcement` on the caller listener, from this VM alone,
- * with `{"service", "slots", "connections"}`. It may be repeated at will.
+ * The call with which the local target announces itself: `POST
+ * /.egretspoke/announcement` on the caller listener, from this VM only, with
+ * `{"service", "slots", "connections"}`. It may be repeated at any time.
  */
 import {Buffer} from 'node:buffer';
 import type {IncomingMessage} from 'node:http';
@@ -19,7 +19,7 @@
 	return method === 'POST' && url === announcementPath;
 }
 
-/** Reads the announcement; the error says what to mend. */
+/** Reads the announcement; the error states what to correct. */
 export function readAnnouncement(
 	request: IncomingMessage,
 	body: Uint8Array,
--- a/packages/node/src/target-client.ts
+++ b/packages/node/src/target-client.ts
@@ -1,4 +1,4 @@
-/** The target beside the node, as the node's core sees it. */
+/** The interface of the core to the local target. */
 import type {Answer, CallRequest} from '@egretspoke/protocol';
 
 /** How one exchange with the target ended. */
@@ -8,18 +8,18 @@
 	| {kind: 'shed'; retryAfter?: number}
 	/** No connection was made, so nothing was handed over. */
 	| {kind: 'unreachable'; detail: string}
-	/** It was handed over, and no whole answer came back. */
+	/** The request was handed over, but no whole answer was received. */
 	| {kind: 'lost'; detail: string}
 	| {kind: 'cut'; detail: string};
 
 /** Sends requests to the target. */
 export type TargetClient = {
-	/** Resolves always; an aborted exchange that was handed over is `lost`. */
+	/** Always resolves; an aborted exchange that was handed over is `lost`. */
 	send(
 		request: CallRequest,
 		timeLeft: number,
 		signal: AbortSignal,
 	): Promise<TargetResult>;
-	/** Whether the target takes connections; true when that can't be told. */
+	/** Whether the target accepts connections; true when that cannot be determined. */
 	isListening(): Promise<boolean>;
 };
--- a/packages/node/src/target-outcome.ts
+++ b/packages/node/src/target-outcome.ts
@@ -1,4 +1,7 @@
-/** What the end of an exchange with the target means for its caller and for the admission. */
+/**
+ * Maps the result of an exchange with the target to the outcome for its caller
+ * and to the completion for the admission.
+ */
 import type {Completion} from '@egretspoke/decisions';
 import {
 	acceptCertifiedRefusal,
@@ -11,7 +14,10 @@
 } from '@egretspoke/protocol';
 import type {TargetResult} from './target-client.js';
 
-/** The outcome of an exchange; only a refusal that the target certifies, or a connection that never stood, is `notRun`. */
+/**
+ * The outcome of an exchange. Only a refusal that the target certifies, or a
+ * connection that was never established, is `notRun`.
+ */
 export function readOutcome(result: TargetResult, load: LoadReport): Outcome {
 	const read = outcomeReaders[result.kind] as (
 		result: TargetResult,
@@ -20,7 +26,7 @@
 	return read(result, load);
 }
 
-/** How the admission counts the end of an exchange. */
+/** How the admission counts an exchange. */
 export function readCompletion(
 	result: TargetResult,
 	signal: AbortSignal,
--- a/packages/node/src/target-watch.ts
+++ b/packages/node/src/target-watch.ts
@@ -1,13 +1,13 @@
-/** Watches the runs at the target for its crashes, and notes under what it crashed. */
+/** Detects crashes of the target and records the requests that were running at the time. */
 import type {CallRequest} from '@egretspoke/protocol';
 import {createCrashWatch, identifyRequest} from '@egretspoke/quarantine';
 import type {IngressContext} from './ingress.js';
 import {toRequestParts} from './node-quarantine.js';
 import type {TargetResult} from './target-client.js';
 
-/** The watch over one target. */
+/** Crash detection for one target. */
 export type TargetWatch = {
-	/** Resolves with the result, once it is known whether a lost one is due to a crash. */
+	/** Resolves with the result. A lost result is held until it is known whether the target crashed. */
 	run(
 		request: CallRequest,
 		signal: AbortSignal,
@@ -17,7 +17,7 @@
 
 type Run = {request: CallRequest; startedAt: number};
 
-/** Creates the watch over a target that runs nothing. */
+/** Creates the crash detection of an idle target. */
 export function createTargetWatch(
 	{
 		clock,
--- a/packages/node/src/ticket-refusal.ts
+++ b/packages/node/src/ticket-refusal.ts
@@ -1,4 +1,4 @@
-/** Refusals of requests whose hand-over ticket is in hand. */
+/** Refuses requests according to their hand-over tickets. */
 import {
 	admitUnknown,
 	createRefusal,
@@ -8,7 +8,7 @@
 	type Outcome,
 } from '@egretspoke/protocol';
 
-/** Why, in a sentence and in time. */
+/** The reason of a refusal and its Retry-After. */
 export type RefusalReason = {
 	code: ErrorCode;
 	/** The message of the code when absent. */
@@ -17,7 +17,7 @@
 	retryAfter: number;
 };
 
-/** Says "not run" if the ticket still proves it, and "unknown" if it doesn't. */
+/** Refuses as "not run" if the ticket still proves it, otherwise as "unknown". */
 export function refuseTicket(
 	ticket: Pick<HandOverTicket, 'surrender'>,
 	{code, reason, retryAfter}: RefusalReason,
--- a/packages/node/src/turn-queue.ts
+++ b/packages/node/src/turn-queue.ts
@@ -1,6 +1,7 @@
 /**
- * The requests that wait for the admission's word. The admission decides; this
- * wakes it when it asks to be woken, and tells each request its turn.
+ * Holds the requests that wait for admission. The admission policy decides; the
+ * queue calls it when its next decision is due, and settles the waiting
+ * requests.
  */
 import type {
 	AdmissionPolicy,
@@ -12,11 +13,11 @@
 
 /** The waiting requests of one target. */
 export type TurnQueue = {
-	/** Resolves with the request's turn; a caller that gives up takes it back. */
+	/** Resolves with the request's turn. A request whose caller gives up is withdrawn. */
 	wait(facts: CallFacts, signal: AbortSignal): Promise<AdmissionTurn>;
-	/** Tells every turn that is due; to be called when a slot is free. */
+	/** Settles every turn that is due; to be called when a slot is free. */
 	dispatchTurns(): void;
-	/** Hands back everything that waits. */
+	/** Drains the admission and settles every waiting request. */
 	drain(): void;
 };
 
--- a/packages/node/src/web-socket-channel.ts
+++ b/packages/node/src/web-socket-channel.ts
@@ -12,29 +12,29 @@
 	type HandshakeSide,
 } from './peer-handshake.js';
 
-/** What a channel needs besides its socket. */
+/** Dependencies of a channel. */
 export type ChannelContext = {
 	clock: Clock;
 	self: () => PeerIdentity;
 	secret: string;
-	/** Called when the peer sent what is no message; its channel is closed. */
+	/** Called when the peer sent an invalid message; its channel is closed. */
 	onMalformed: (detail: string) => void;
 };
 
-/** Milliseconds for both sides to finish the handshake: many round trips between regions. */
+/** Timeout of the handshake in milliseconds; allows many round trips between regions. */
 export const handshakeTimeoutMs = 3000;
 
 /**
- * Bytes waiting in the socket above which nothing more is sent. A peer that
- * stopped reading would otherwise fill this node's memory; here the caller
- * learns at once that its request was not sent.
+ * Maximum bytes waiting in the socket; above it nothing more is sent. A peer
+ * that stopped reading would otherwise fill the memory of this node. With the
+ * limit, the caller learns immediately that its request was not sent.
  */
 const sendBufferLimit = 8 * 1024 * 1024;
 
 /**
- * Shakes hands and gives the channel, or the reason why there is none. It may
- * be called while the socket still connects: the peer's hello can come with
- * the very bytes that open it, and must find a listener.
+ * Performs the handshake and returns the channel, or the reason why there is
+ * none. It may be called while the socket is still connecting: the peer's hello
+ * can arrive with the same bytes that open the socket, and must find a listener.
  */
 export async function openChannel(
 	socket: WebSocket,
@@ -55,9 +55,10 @@
 	};
 
 	/**
-	 * A stranger who ignores the close can go on sending until the socket gives
-	 * it up, half a minute later. Kept for a reader that has gone, its messages
-	 * would fill the memory; here nothing is decoded or kept after a refusal.
+	 * A peer that ignores the close can continue sending until the socket is
+	 * dropped, half a minute later. Its messages would fill the memory if they
+	 * were queued for a reader that has gone, so nothing is decoded or queued
+	 * after a rejection.
 	 */
 	const rejectPeer = (code: number, reason: string) => {
 		socket.off('message', onMessage);
--- a/packages/node/src/web-socket-transport.ts
+++ b/packages/node/src/web-socket-transport.ts
@@ -5,22 +5,22 @@
 import type {MessageChannel, PeerTransport} from './message-channel.js';
 import {openChannel, type ChannelContext} from './web-socket-channel.js';
 
-/** What the transport needs to know. */
+/** Options of the transport. */
 export type WebSocketTransportOptions = ChannelContext & {
 	/** The largest message in bytes: a body and its headers. */
 	messageLimit: number;
-	/** Connections that may shake hands at once; more are refused. */
+	/** Maximum concurrent handshakes of incoming connections; more are refused. */
 	handshakeLimit: number;
-	/** A peer was refused, and why. */
+	/** Called with the reason when a peer was refused. */
 	onRefused: (detail: string) => void;
 };
 
-/** The transport, and the address that its listener got. */
+/** The transport with its listener. */
 export type WebSocketTransport = PeerTransport & {
 	listen(host: string, port: number): Promise<number>;
 };
 
-/** Milliseconds to open a connection; a peer that takes longer is as good as unreachable. */
+/** Timeout in milliseconds for opening a connection; a slower peer counts as unreachable. */
 const connectTimeoutMs = 2000;
 
 /** Creates the transport; nothing listens until `listen`. */
@@ -112,7 +112,7 @@
 	};
 }
 
-/** Listens and gives the port; the error is Node's own, such as EADDRINUSE. */
+/** Listens and returns the port; rejects with Node's error, such as EADDRINUSE. */
 export async function listen(
 	server: Server,
 	host: string,
