--- a/packages/node/src/body-budget.ts
+++ b/packages/node/src/body-budget.ts
@@ -3,7 +3,7 @@
  *
  * The limit of one body times the limit of connections is far more than the
  * memory of a VM. Many simultaneous uploads, or many senders that stop half-way,
- * would end the process and every request in it, as with restarts during the
+ * would end the process and every request in it, seen as restarts during the
  * morning's photo uploads. An upload that doesn't fit is refused before it runs,
  * with a Retry-After.
  */
--- a/packages/node/src/message-queue.ts
+++ b/packages/node/src/message-queue.ts
@@ -1,6 +1,6 @@
 /** A queue between the callback that receives messages and the task that reads them. */
 
-/** A queue that is read as an async iterable, by one reader. */
+/** A queue that a single reader reads as an async iterable. */
 export type MessageQueue<T> = {
 	push(value: T): void;
 	/** Ends the queue; the reader still receives what was pushed before. */
--- a/packages/node/src/pause-watch.ts
+++ b/packages/node/src/pause-watch.ts
@@ -19,7 +19,7 @@
 
 /** Milliseconds between ticks; twenty wake-ups a second cost about 0.1% of a core. */
 const tickInterval = 50;
-/** Largest gap in milliseconds that is a normal delay of timers. */
+/** Maximum gap in milliseconds that counts as a normal delay of timers. */
 const maxNormalGap = 3 * tickInterval;
 
 /** Starts the watch; it stops when the signal aborts. */
--- a/packages/node/src/peers.ts
+++ b/packages/node/src/peers.ts
@@ -63,7 +63,7 @@
 /**
  * Milliseconds after a failed connect during which the peer counts as
  * unreachable without another attempt. Otherwise each request to a dead VM would
- * wait for a connect of its own until membership detects the failure.
+ * wait for its own connect until membership detects the failure.
  */
 const reconnectCooldown = 200;
 
@@ -151,9 +151,9 @@
 		address: string,
 	): Promise<PeerConnection | undefined> => {
 		const node = context.nodeByAddress(address);
-		const known = node === undefined ? undefined : byNode.get(node);
-		if (known) {
-			return known.connection;
+		const existing = node === undefined ? undefined : byNode.get(node);
+		if (existing) {
+			return existing.connection;
 		}
 
 		const failed = failedAt.get(address);
@@ -193,8 +193,8 @@
 
 	return {
 		async call(peer, request, options, signal) {
-			const known = byNode.get(peer.node)?.connection;
-			const connection = known ?? (await connect(peer.peerAddress));
+			const existing = byNode.get(peer.node)?.connection;
+			const connection = existing ?? (await connect(peer.peerAddress));
 			// The address may have passed to another node. A call for one node must
 			// never run at another.
 			return connection?.peer.node === peer.node
--- a/packages/node/src/running-requests.ts
+++ b/packages/node/src/running-requests.ts
@@ -70,18 +70,18 @@
 	const running = new Map<string, SharedRun>();
 	return {
 		add(request) {
-			const known = running.get(request.id);
-			if (known) {
-				known.count++;
+			const existing = running.get(request.id);
+			if (existing) {
+				existing.count++;
 			} else {
 				running.set(request.id, {...request, count: 1});
 			}
 		},
 		remove(id) {
-			const known = running.get(id);
-			if (known && --known.count === 0) {
-				known.downstreamAbort?.abort();
-				known.downstreamAbort?.release();
+			const existing = running.get(id);
+			if (existing && --existing.count === 0) {
+				existing.downstreamAbort?.abort();
+				existing.downstreamAbort?.release();
 				running.delete(id);
 			}
 		},
--- a/packages/node/src/settings.ts
+++ b/packages/node/src/settings.ts
@@ -42,7 +42,7 @@
 });
 
 const listenersSchema = z.strictObject({
-	/** Requests of callers and of the target beside the node. */
+	/** Requests of callers and of the local target. */
 	caller: addressSchema.default(defaultListeners.caller),
 	/** Other nodes. */
 	peer: addressSchema.default(defaultListeners.peer),
@@ -67,7 +67,7 @@
 
 const announcementSchema = z.strictObject({
 	service: name,
-	/** Requests that the target runs at once. */
+	/** Requests that the target runs at the same time. */
 	slots: count,
 	/** Connections that the target accepts. */
 	connections: count,
@@ -92,17 +92,17 @@
 	body: sizeSchema.default(8 * megabyte),
 	/** All headers of one request together. */
 	headers: sizeSchema.default(16 * kilobyte),
-	/** The bodies of callers' requests that the node holds at once. */
+	/** The bodies of callers' requests that the node holds at the same time. */
 	bufferedBodies: sizeSchema.default(128 * megabyte),
 	/** Connections that the caller listener holds open. */
 	connections: count.default(4096),
 	/** A caller that takes longer to send its request is cut off. */
 	slowSender: duration.default(10 * second),
-	/** Idempotency keys that the node remembers at once. */
+	/** Idempotency keys that the node stores at the same time. */
 	ledgerKeys: count.default(65_536),
 	/** Recorded answers of those keys together. */
 	ledgerBytes: sizeSchema.default(16 * megabyte),
-	/** How long a key is remembered at most, and when the request states no expiry. */
+	/** How long a key is stored at most, and when the request states no expiry. */
 	keyLifetime: duration.default(2 * minute),
 });
 
