--- a/packages/node/src/settings-check.ts
+++ b/packages/node/src/settings-check.ts
@@ -61,7 +61,7 @@
 		)
 		.map(({path, address}) => ({
 			path,
-			message: `${address.host} can't be told to others`,
+			message: `${address.host} can't be advertised`,
 			advice: `expected advertise.${path[1]!} with this VM's own IP number`,
 		}));
 }
