--- a/packages/node/__tests__/bad-input-admin.spec.ts
+++ b/packages/node/__tests__/bad-input-admin.spec.ts
@@ -3,21 +3,21 @@
 import {
 	exchangeRaw,
 	secrets,
-	startBench,
-	type ListenerBench,
-} from './listener-bench.js';
+	startFixture,
+	type ListenerFixture,
+} from './listener-fixture.js';
 
 describe('bad input at the admin listener', () => {
-	let bench: ListenerBench;
+	let fixture: ListenerFixture;
 
 	beforeEach(async () => {
-		bench = await startBench();
+		fixture = await startFixture();
 	});
 
 	afterEach(async () => {
-		const answer = await bench.ask();
+		const answer = await fixture.sendRequest();
 		expect(answer).to.deep.equal({status: 200, text: 'done'});
-		await bench.close();
+		await fixture.close();
 	});
 
 	const call = async (
@@ -25,7 +25,7 @@
 		options: {method?: 'GET' | 'POST'; token?: string; body?: string} = {},
 	) => {
 		const {statusCode, body} = await request(
-			`http://${bench.node.addresses.admin}${path}`,
+			`http://${fixture.node.addresses.admin}${path}`,
 			{
 				method: options.method ?? 'GET',
 				body: options.body ?? null,
@@ -37,8 +37,8 @@
 		return {status: statusCode, text: await body.text()};
 	};
 
-	it('lets nobody act as an operator without the secret', async () => {
-		// A caller finds the admin port and asks the node to leave. Without the
+	it('refuses operator calls without the secret', async () => {
+		// A caller finds the admin port and makes the node leave. Without the
 		// secret any caller could take the whole service down.
 		for (const token of ['', 'guess', `${secrets.operator}x`]) {
 			// eslint-disable-next-line no-await-in-loop -- one guess after another.
@@ -47,11 +47,11 @@
 		}
 
 		expect(
-			await bench.count(
+			await fixture.count(
 				'egretspoke_malformed_input_total{listener="admin",kind="unauthorized"}',
 			),
 		).to.equal(3);
-		const status = await bench.operate('/v1/status');
+		const status = await fixture.callAdmin('/v1/status');
 		expect(status.text).to.contain('"state":"active"');
 	});
 
@@ -63,7 +63,7 @@
 		expect(status).to.equal(413);
 	});
 
-	it('reports every fault of a plan request that is no plan request', async () => {
+	it('reports the faults of an invalid plan request', async () => {
 		for (const body of ['nonsense', '{}', '[]']) {
 			// eslint-disable-next-line no-await-in-loop -- one after another.
 			const {status, text} = await call('/v1/plans', {method: 'POST', body});
@@ -72,7 +72,7 @@
 		}
 	});
 
-	it('refuses paths, plans and requests that it does not know', async () => {
+	it('refuses unknown paths, plans and requests', async () => {
 		for (const path of [
 			'/',
 			'/v1/nonsense',
@@ -85,10 +85,10 @@
 		}
 	});
 
-	it('closes on what is not HTTP', async () => {
-		await exchangeRaw(bench.node.addresses.admin, 'nonsense\r\n\r\n');
+	it('closes the connection on input that is not HTTP', async () => {
+		await exchangeRaw(fixture.node.addresses.admin, 'nonsense\r\n\r\n');
 		expect(
-			await bench.count(
+			await fixture.count(
 				'egretspoke_malformed_input_total{listener="admin",kind="admin"}',
 			),
 		).to.equal(1);
--- a/packages/node/__tests__/bad-input-caller.spec.ts
+++ b/packages/node/__tests__/bad-input-caller.spec.ts
@@ -5,9 +5,9 @@
 	exchangeRaw,
 	openSocket,
 	readToEnd,
-	startBench,
-	type ListenerBench,
-} from './listener-bench.js';
+	startFixture,
+	type ListenerFixture,
+} from './listener-fixture.js';
 
 const malformed = (kind: string) =>
 	`egretspoke_malformed_input_total{listener="caller",kind="${kind}"}`;
@@ -21,41 +21,41 @@
 const compose = (lines: string[], body = '') =>
 	`${[...head, ...lines].join('\r\n')}\r\n\r\n${body}`;
 
-/** Asks again and again; the time limit of the spec ends what never comes. */
+/** Repeats a check; the timeout of the spec ends one that never succeeds. */
 const repeatUntil = async (isTrue: () => Promise<boolean>): Promise<void> => {
-	// eslint-disable-next-line no-await-in-loop -- one question after another.
+	// eslint-disable-next-line no-await-in-loop -- one check after another.
 	while (!(await isTrue())) {
-		// What the other connection sent has not arrived yet.
+		// The input of the other connection has not arrived yet.
 	}
 };
 
 describe('bad input at the caller listener', () => {
-	let bench: ListenerBench;
+	let fixture: ListenerFixture;
 
 	beforeEach(async () => {
-		bench = await startBench('slowSender: 200ms');
+		fixture = await startFixture('slowSender: 200ms');
 	});
 
 	afterEach(async () => {
-		// Whatever came in, the node still serves everybody else.
-		const answer = await bench.ask();
+		// The node must still serve other callers after any input.
+		const answer = await fixture.sendRequest();
 		expect(answer).to.deep.equal({status: 200, text: 'done'});
-		await bench.close();
+		await fixture.close();
 	});
 
 	const exchange = async (...parts: string[]) =>
-		exchangeRaw(bench.node.addresses.caller, ...parts);
+		exchangeRaw(fixture.node.addresses.caller, ...parts);
 
 	const expectNothingRun = () => {
-		expect(bench.received()).to.equal(0);
+		expect(fixture.received()).to.equal(0);
 	};
 
-	const ask = async (
+	const sendHeaders = async (
 		headers: Record<string, string>,
 		options: {method?: 'GET' | 'POST'; body?: string} = {},
 	) => {
 		const {statusCode, headers: got} = await request(
-			`http://${bench.node.addresses.caller}/orders`,
+			`http://${fixture.node.addresses.caller}/orders`,
 			{
 				method: options.method ?? 'GET',
 				headers,
@@ -70,29 +70,29 @@
 	};
 
 	it('refuses headers over the limit', async () => {
-		// A client puts a whole document into a cookie. Read without a limit,
-		// a few such clients would hold the memory of every other request.
+		// A client puts a whole document into a cookie. Without a limit, a few such
+		// clients would use the memory of every other request.
 		const answer = await exchange(compose([`cookie: ${'x'.repeat(8192)}`]));
 		expect(answer).to.match(/^HTTP\/1\.1 431 /u);
 		expect(answer).to.contain('egretspoke-error: 102 TooLarge');
-		expect(await bench.count(malformed('HPE_HEADER_OVERFLOW'))).to.equal(1);
+		expect(await fixture.count(malformed('HPE_HEADER_OVERFLOW'))).to.equal(1);
 	});
 
-	it('refuses a body that is announced over the limit, unread', async () => {
-		// An upload of gigabytes starts. Its sender gets the refusal while it
-		// still sends, and nothing of what it sends is kept.
+	it('refuses a body with a length over the limit without reading it', async () => {
+		// An upload of gigabytes starts. Its sender gets the refusal while it still
+		// sends, and nothing of the body is buffered.
 		const answer = await exchange(
 			compose([`content-length: ${2 ** 40}`], 'x'.repeat(1000)),
 		);
 		expect(answer).to.match(/^HTTP\/1\.1 413 /u);
 		expect(answer).to.contain('egretspoke-error: 102 TooLarge');
 		expect(answer).to.contain('egretspoke-outcome: not-run');
-		expect(await bench.count(malformed('tooLarge'))).to.equal(1);
+		expect(await fixture.count(malformed('tooLarge'))).to.equal(1);
 	});
 
 	it('refuses a body in chunks once it is over the limit', async () => {
-		// A body in chunks announces no length, so only counting shows that it
-		// is too large; without it the node would read until memory ends.
+		// A chunked body has no length header, so only counting shows that it is
+		// too large; without it the node would read until it runs out of memory.
 		const chunk = `8000\r\n${'x'.repeat(0x80_00)}\r\n`;
 		const answer = await exchange(
 			compose(['transfer-encoding: chunked']),
@@ -101,29 +101,29 @@
 			chunk,
 		);
 		expect(answer).to.match(/^HTTP\/1\.1 413 /u);
-		expect(await bench.count(malformed('tooLarge'))).to.equal(1);
+		expect(await fixture.count(malformed('tooLarge'))).to.equal(1);
 		expectNothingRun();
 	});
 
-	it('runs nothing for a body shorter than its length', async () => {
+	it('runs no request whose body is shorter than its length', async () => {
 		// A client dies in the middle of its upload. Half a photo must not be
 		// stored as if it were whole.
-		const socket = await openSocket(bench.node.addresses.caller);
+		const socket = await openSocket(fixture.node.addresses.caller);
 		socket.end(compose(['content-length: 100'], 'half'));
 		await readToEnd(socket);
 		expectNothingRun();
 	});
 
-	it('takes what follows a body for no second request', async () => {
-		// A length that is too small leaves a rest, which would be read as the
-		// next request of that connection.
+	it('does not read the rest of a body as a second request', async () => {
+		// A length that is too small leaves bytes that would be read as the next
+		// request of the connection.
 		const answer = await exchange(compose(['content-length: 2'], 'four'));
 		expect(answer).to.contain('HTTP/1.1 400 Bad Request');
 		expect(answer).to.contain('egretspoke-error: 100 MalformedRequest');
 	});
 
 	for (const [name, lines] of Object.entries({
-		'a length that is no number': ['content-length: many'],
+		'a length that is not a number': ['content-length: many'],
 		'two lengths': ['content-length: 1', 'content-length: 2'],
 		'a length and chunks': ['content-length: 4', 'transfer-encoding: chunked'],
 		'a header without a colon': ['nonsense'],
@@ -136,17 +136,17 @@
 		});
 	}
 
-	it('refuses what is not HTTP', async () => {
+	it('refuses input that is not HTTP', async () => {
 		const answer = await exchange('\u0016\u0003\u0001 hello\r\n\r\n');
 		expect(answer).to.contain('egretspoke-error: 100 MalformedRequest');
 	});
 
 	it('cuts off a sender that never finishes its headers', async () => {
-		// A client sends a byte now and then. Enough of them would hold every
-		// connection of the node, and nobody else could come in.
+		// A client sends one byte from time to time. Enough of them would use every
+		// connection of the node, and no other client could connect.
 		const answer = await exchange('GET /orders HTTP/1.1\r\nhost: no');
 		expect(answer).to.match(/^HTTP\/1\.1 408 /u);
-		expect(await bench.count(malformed('ERR_HTTP_REQUEST_TIMEOUT'))).to.equal(
+		expect(await fixture.count(malformed('ERR_HTTP_REQUEST_TIMEOUT'))).to.equal(
 			1,
 		);
 	});
@@ -157,36 +157,40 @@
 		expectNothingRun();
 	});
 
-	it('refuses a body that finds no room beside the others, and frees it', async () => {
-		// Many uploads come at once, each within its limit. Kept all together
-		// they would end the process; here the last is told when to come back.
-		await bench.close();
-		bench = await startBench('bufferedBodies: 40KB', 'slowSender: 10s');
+	it('refuses a body that exceeds the shared budget, and releases its bytes', async () => {
+		// Many uploads arrive at the same time, each within its limit. Buffered
+		// together they would end the process; here the last one is refused with a
+		// Retry-After.
+		await fixture.close();
+		fixture = await startFixture('bufferedBodies: 40KB', 'slowSender: 10s');
 		const upload = {method: 'POST', body: 'x'.repeat(30_000)} as const;
 		const errorOf = async () => {
-			const {error} = await ask({'egretspoke-service': 'orders'}, upload);
+			const {error} = await sendHeaders(
+				{'egretspoke-service': 'orders'},
+				upload,
+			);
 			return error;
 		};
 
-		const first = await openSocket(bench.node.addresses.caller);
+		const first = await openSocket(fixture.node.addresses.caller);
 		first.write(compose(['content-length: 40000'], upload.body));
 		await repeatUntil(async () => (await errorOf()) === '200 Overloaded');
 		first.destroy();
 		await repeatUntil(async () => (await errorOf()) === '103 KeyRequired');
-		expect(await bench.count(malformed('noRoom'))).to.be.at.least(1);
+		expect(await fixture.count(malformed('noRoom'))).to.be.at.least(1);
 	});
 
-	it('refuses a service that nobody knows', async () => {
-		expect(await ask({'egretspoke-service': 'nowhere'})).to.deep.equal({
+	it('refuses an unknown service', async () => {
+		expect(await sendHeaders({'egretspoke-service': 'nowhere'})).to.deep.equal({
 			status: 404,
 			error: '101 UnknownService',
 			outcome: 'not-run',
 		});
 	});
 
-	it('names every faulty header at once', async () => {
+	it('reports every faulty header in one answer', async () => {
 		const {body, statusCode} = await request(
-			`http://${bench.node.addresses.caller}/`,
+			`http://${fixture.node.addresses.caller}/`,
 			{headers: {'egretspoke-deadline': 'soon', 'egretspoke-home': 'x'}},
 		);
 		const text = await body.text();
@@ -194,14 +198,14 @@
 		expect(text).to.contain('egretspoke-service is missing');
 		expect(text).to.contain('egretspoke-deadline must be a whole number');
 		expect(text).to.contain('egretspoke-home must be');
-		expect(await bench.count(malformed('header'))).to.equal(1);
+		expect(await fixture.count(malformed('header'))).to.equal(1);
 	});
 
 	it('refuses a payment without a key, and one without a home', async () => {
 		const service = {'egretspoke-service': 'orders'};
-		const unkeyed = await ask(service, {method: 'POST', body: '{}'});
+		const unkeyed = await sendHeaders(service, {method: 'POST', body: '{}'});
 		expect(unkeyed.error).to.equal('103 KeyRequired');
-		const unhomed = await ask(
+		const unhomed = await sendHeaders(
 			{...service, 'idempotency-key': 'k'},
 			{method: 'POST', body: '{}'},
 		);
@@ -209,17 +213,17 @@
 		expectNothingRun();
 	});
 
-	it('refuses an announcement that makes no sense', async () => {
+	it('refuses an invalid announcement', async () => {
 		const {statusCode} = await request(
-			`http://${bench.node.addresses.caller}/.egretspoke/announcement`,
+			`http://${fixture.node.addresses.caller}/.egretspoke/announcement`,
 			{method: 'POST', body: '{"service": 1}'},
 		);
 		expect(statusCode).to.equal(400);
-		expect(await bench.count(malformed('announcement'))).to.equal(1);
+		expect(await fixture.count(malformed('announcement'))).to.equal(1);
 	});
 
-	it('survives a caller that goes away while its request runs', async () => {
-		const socket = await openSocket(bench.node.addresses.caller);
+	it('still serves after a caller disconnects while its request runs', async () => {
+		const socket = await openSocket(fixture.node.addresses.caller);
 		socket.write(
 			'GET / HTTP/1.1\r\nhost: n\r\negretspoke-service: orders\r\n\r\n',
 		);
--- a/packages/node/__tests__/bad-input-peer.spec.ts
+++ b/packages/node/__tests__/bad-input-peer.spec.ts
@@ -10,14 +10,14 @@
 import {
 	exchangeRaw,
 	secrets,
-	startBench,
-	type ListenerBench,
-} from './listener-bench.js';
+	startFixture,
+	type ListenerFixture,
+} from './listener-fixture.js';
 
 const malformed = (kind: string) =>
 	`egretspoke_malformed_input_total{listener="peer",kind="${kind}"}`;
 
-const stranger = {node: 'vm-9', incarnation: 1, dataCentre: 'a'};
+const unknownPeer = {node: 'vm-9', incarnation: 1, dataCentre: 'a'};
 
 const call: Message = {
 	type: 'call',
@@ -39,10 +39,10 @@
 };
 
 describe('a channel whose peer was refused', () => {
-	it('decodes and keeps nothing more', async () => {
-		// A stranger ignores the close and floods the connection. If its
-		// messages were kept for a reader that has gone, the node's memory would
-		// grow until the socket gives up, half a minute later.
+	it('decodes and queues no further messages', async () => {
+		// A peer ignores the close and floods the connection. If its messages were
+		// queued for a reader that has gone, the memory of the node would grow
+		// until the socket is dropped, half a minute later.
 		const server = new WebSocketServer({port: 0, host: '127.0.0.1'});
 		await once(server, 'listening');
 		const {port} = server.address() as AddressInfo;
@@ -70,26 +70,26 @@
 });
 
 describe('bad input at the peer listener', () => {
-	let bench: ListenerBench;
+	let fixture: ListenerFixture;
 
 	beforeEach(async () => {
-		bench = await startBench();
+		fixture = await startFixture();
 	});
 
 	afterEach(async () => {
-		const answer = await bench.ask();
+		const answer = await fixture.sendRequest();
 		expect(answer).to.deep.equal({status: 200, text: 'done'});
-		await bench.close();
+		await fixture.close();
 	});
 
 	const open = async () => {
-		const socket = new WebSocket(`ws://${bench.node.addresses.peer}`);
+		const socket = new WebSocket(`ws://${fixture.node.addresses.peer}`);
 		socket.on('error', () => undefined);
 		await once(socket, 'open');
 		return socket;
 	};
 
-	/** Sends messages, and gives the code with which the node closes. */
+	/** Sends messages and returns the code with which the node closes. */
 	const sendAll = async (...messages: Array<Message | Uint8Array>) => {
 		const socket = await open();
 		const closed = once(socket, 'close') as Promise<[number]>;
@@ -105,38 +105,39 @@
 
 	const expectMalformed = async (bytes: Uint8Array) => {
 		expect(await sendAll(bytes)).to.equal(1002);
-		expect(await bench.count(malformed('message'))).to.equal(1);
+		expect(await fixture.count(malformed('message'))).to.equal(1);
 	};
 
-	it('runs nothing for a peer that skips the handshake', async () => {
-		// A caller speaks to the peer port to have its request run past the
-		// entry's checks. Nothing is taken before the secret is proved.
+	it('runs no request of a peer that skips the handshake', async () => {
+		// A caller uses the peer port to have its request run past the checks of
+		// the entry. No message is accepted before the secret is proved.
 		expect(await sendAll(call)).to.equal(1008);
-		expect(bench.received()).to.equal(0);
-		expect(await bench.count(malformed('handshake'))).to.equal(1);
+		expect(fixture.received()).to.equal(0);
+		expect(await fixture.count(malformed('handshake'))).to.equal(1);
 	});
 
-	it('refuses a peer that does not know the secret', async () => {
-		const handshake = createHandshake('opener', stranger, 'guessed');
+	it('refuses a peer without the secret', async () => {
+		const handshake = createHandshake('opener', unknownPeer, 'guessed');
 		const code = await sendAll(handshake.hello, {
 			type: 'proof',
 			signature: '0'.repeat(64),
 		});
 		expect(code).to.equal(1008);
-		expect(await bench.count(malformed('handshake'))).to.equal(1);
+		expect(await fixture.count(malformed('handshake'))).to.equal(1);
 	});
 
 	it('refuses another protocol version', async () => {
-		// During an upgrade two versions meet. One that half understands the
-		// other would misread requests; one notices wrong answers, not errors.
-		const {hello} = createHandshake('opener', stranger, secrets.peer);
+		// During an upgrade two versions meet. One that partly understands the
+		// other would misread requests, which shows as wrong answers and not as
+		// errors.
+		const {hello} = createHandshake('opener', unknownPeer, secrets.peer);
 		const old: Message = {...hello, version: 99};
 		expect(await sendAll(old)).to.equal(1008);
-		expect(await bench.count(malformed('handshake'))).to.equal(1);
+		expect(await fixture.count(malformed('handshake'))).to.equal(1);
 	});
 
 	for (const [name, bytes] of Object.entries({
-		'bytes that are no message': Buffer.from([0xc1, 0xff, 0x00]),
+		'bytes that are not a message': Buffer.from([0xc1, 0xff, 0x00]),
 		'an empty message': Buffer.alloc(0),
 		'a message of an unknown type': encodeMessage({
 			type: 'nonsense',
@@ -150,13 +151,13 @@
 	}
 
 	it('closes on a message over the limit', async () => {
-		// One peer sends a message of gigabytes. Read without a limit it would
-		// take the memory of the whole node.
+		// One peer sends a message of gigabytes. Without a limit it would use the
+		// memory of the whole node.
 		expect(await sendAll(Buffer.alloc(2 * 1024 * 1024))).to.equal(1009);
 	});
 
-	it('refuses plain HTTP and plain nonsense', async () => {
-		const {peer} = bench.node.addresses;
+	it('refuses plain HTTP and invalid bytes', async () => {
+		const {peer} = fixture.node.addresses;
 		expect(
 			await exchangeRaw(peer, 'GET / HTTP/1.1\r\nhost: n\r\n\r\n'),
 		).to.match(/^HTTP\/1\.1 426 /u);
--- a/packages/node/__tests__/chain-attempts.spec.ts
+++ b/packages/node/__tests__/chain-attempts.spec.ts
@@ -7,28 +7,28 @@
 import {createSupervisor} from '../src/supervisor.js';
 import {createLocalNetwork} from './local-network.js';
 
-const triesOfTargets = 3;
-const attemptsOfChain = 3;
+const triesPerTarget = 3;
+const chainAttempts = 3;
 const empty = new Uint8Array(0);
 const failed: Answer = {status: 503, headers: {}, body: empty};
 const {signal} = new AbortController();
 
-/** A way for the target of one layer to call the next. */
-type CallDeeper = (request: CallRequest, layer: number) => Promise<Answer>;
+/** Calls the next layer from the target of one layer. */
+type CallDownstream = (request: CallRequest, layer: number) => Promise<Answer>;
 
-/** Each layer's target tries three times by itself, whatever it is told. */
+/** The target of each layer tries three times, regardless of the headers it receives. */
 async function retryNaively(call: () => Promise<Answer>): Promise<Answer> {
 	for (let tries = 1; ; tries++) {
 		// eslint-disable-next-line no-await-in-loop -- one try after another.
 		const answer = await call();
-		if (answer.status === 200 || tries === triesOfTargets) {
+		if (answer.status === 200 || tries === triesPerTarget) {
 			return answer;
 		}
 	}
 }
 
-/** Calls that reach the failing service below `depth` layers for one request, without a layer of ours. */
-async function countNaive(depth: number): Promise<number> {
+/** Counts the calls that reach the failing service below `depth` layers for one request, without nodes. */
+async function countWithoutNodes(depth: number): Promise<number> {
 	let reached = 0;
 	const runLayer = async (layer: number): Promise<Answer> => {
 		if (layer === depth) {
@@ -43,7 +43,7 @@
 	return reached;
 }
 
-/** The same with a node beside every target. */
+/** Counts the same calls with a node at every target. */
 async function countWithNodes(depth: number): Promise<number> {
 	const clock = createVirtualClock();
 	const attach = createLocalNetwork();
@@ -51,7 +51,7 @@
 	const cores: NodeCore[] = [];
 	const tally = {reached: 0, isOver: false};
 
-	const callDeeper: CallDeeper = async (request, layer) => {
+	const callDownstream: CallDownstream = async (request, layer) => {
 		const {outcome} = await cores[layer - 1]!.entry.handle(
 			{
 				id: request.id,
@@ -102,12 +102,12 @@
 					requestClass: 'normal',
 					idempotent: true,
 					deadline: 60_000,
-					attempts: attemptsOfChain,
+					attempts: chainAttempts,
 				}),
 				members: () => members,
 				isSuspended: () => false,
 				receiveProbe() {
-					throw new Error('nobody probes here');
+					throw new Error('unexpected probe');
 				},
 				configurationBody: () => undefined,
 			},
@@ -123,7 +123,7 @@
 					}
 
 					const answer = await retryNaively(async () =>
-						callDeeper(request, layer),
+						callDownstream(request, layer),
 					);
 					return {kind: 'answer', answer};
 				},
@@ -136,7 +136,7 @@
 		core.membersChanged();
 	}
 
-	const asking = cores[0]!.entry.handle(
+	const answering = cores[0]!.entry.handle(
 		{
 			service: 'layer-1',
 			method: 'GET',
@@ -148,7 +148,7 @@
 		signal,
 	);
 	void (async () => {
-		await asking;
+		await answering;
 		tally.isOver = true;
 	})();
 
@@ -161,19 +161,19 @@
 }
 
 describe('attempts of a whole chain', () => {
-	// Every target of a deep chain tries three times by itself when the next
-	// service fails. Each layer multiplies what the one above it sends, and the
-	// slow service drowns long after the surge has passed.
+	// Every target of a deep chain tries three times when the next service fails.
+	// Each layer multiplies the calls of the one above it, and the slow service
+	// stays overloaded long after the surge has passed.
 	for (const depth of [2, 4, 6]) {
 		describe(`${depth} services deep`, () => {
-			it('are bounded by the chain, however often its targets try', async () => {
+			it('are bounded by the chain, regardless of the retries of its targets', async () => {
 				const reached = await countWithNodes(depth);
-				expect(reached).to.be.within(1, attemptsOfChain);
+				expect(reached).to.be.within(1, chainAttempts);
 			});
 
-			it('multiply with each layer without nodes', async () => {
-				const reached = await countNaive(depth);
-				expect(reached).to.equal(triesOfTargets ** (depth - 1));
+			it('are multiplied by each layer without nodes', async () => {
+				const reached = await countWithoutNodes(depth);
+				expect(reached).to.equal(triesPerTarget ** (depth - 1));
 			});
 		});
 	}
--- a/packages/node/__tests__/entry.spec.ts
+++ b/packages/node/__tests__/entry.spec.ts
@@ -13,7 +13,7 @@
 import {createEntry} from '../src/entry.js';
 import {silentReporter} from '../src/node-reporter.js';
 import {createRunningRequests} from '../src/running-requests.js';
-import {createLoneQuarantine} from './lone-quarantine.js';
+import {createLocalQuarantine} from './local-quarantine.js';
 
 const refusedElsewhere = refuseNotRun(
 	acceptCertifiedRefusal('peer'),
@@ -21,9 +21,9 @@
 );
 const lost = admitUnknown(createRefusal(ErrorCode.AnswerLost));
 
-/** An entry whose attempts end as listed, each at another target. */
+/** Creates an entry whose attempts have the listed outcomes, each at another target. */
 function createEntryWith(
-	ends: Outcome[],
+	attemptOutcomes: Outcome[],
 	{idempotent = true, age = 0}: {idempotent?: boolean; age?: number} = {},
 ) {
 	const clock = createVirtualClock();
@@ -49,7 +49,7 @@
 		async send(_request, facts, {ticket}) {
 			sent.push(facts.attempts);
 			ticket.handOver();
-			const outcome = ends[sent.length - 1]!;
+			const outcome = attemptOutcomes[sent.length - 1]!;
 			const result = outcome.kind === 'answered' ? 'ok' : outcome.kind;
 			return {
 				outcome,
@@ -65,7 +65,7 @@
 		}),
 		running: createRunningRequests(),
 		reporter: silentReporter,
-		quarantine: createLoneQuarantine(clock),
+		quarantine: createLocalQuarantine(clock),
 		classify: () => ({
 			requestClass: 'normal',
 			idempotent,
@@ -78,7 +78,7 @@
 		forwardToHome: async () => ({outcome: lost}),
 		getRefusalCode: () => undefined,
 	});
-	const ask = async (keyExpiry?: number) =>
+	const handle = async (keyExpiry?: number) =>
 		entry.handle(
 			{
 				...(keyExpiry !== undefined && {keyExpiry}),
@@ -93,76 +93,80 @@
 			},
 			new AbortController().signal,
 		);
-	const soon = () => clock.date().getTime() + 30_000;
-	return {ask, sent, soon};
+	const getValidExpiry = () => clock.date().getTime() + 30_000;
+	return {handle, sent, getValidExpiry};
 }
 
 describe('entry', () => {
-	it('tries an idempotent request again after a lost answer', async () => {
+	it('retries an idempotent request after a lost answer', async () => {
 		const answer = {status: 200, headers: {}, body: new Uint8Array(0)};
-		const {ask, sent} = createEntryWith([lost, {kind: 'answered', answer}]);
-		const {outcome} = await ask();
+		const {handle, sent} = createEntryWith([lost, {kind: 'answered', answer}]);
+		const {outcome} = await handle();
 		expect(outcome.kind).to.equal('answered');
 		expect(sent).to.deep.equal([3, 2]);
 	});
 
 	describe('with an answer lost before a refusal', () => {
-		it('never says that the request was not run', async () => {
+		it('never reports the request as not run', async () => {
 			// The first target runs the request and its answer is lost; the second
-			// refuses it. A caller who is told "not run" by the second refusal
-			// believes that nothing happened, and it did.
-			const {ask} = createEntryWith([lost, refusedElsewhere, refusedElsewhere]);
-			const {outcome} = await ask();
+			// refuses it. "Not run" because of the second refusal would tell the
+			// caller that nothing happened, although the request ran.
+			const {handle} = createEntryWith([
+				lost,
+				refusedElsewhere,
+				refusedElsewhere,
+			]);
+			const {outcome} = await handle();
 			expect(outcome.kind).to.equal('unknown');
 		});
 
 		it('makes no second attempt at a non-idempotent request', async () => {
 			// The answer to a payment is lost. Another attempt would pay twice.
-			const {ask, sent, soon} = createEntryWith([lost, lost], {
+			const {handle, sent, getValidExpiry} = createEntryWith([lost, lost], {
 				idempotent: false,
 			});
-			const {outcome} = await ask(soon());
+			const {outcome} = await handle(getValidExpiry());
 			expect(outcome.kind).to.equal('unknown');
 			expect(sent).to.have.length(1);
 		});
 	});
 
 	describe('of a node that was frozen', () => {
-		// A VM wakes after two seconds with a request of one second in its socket.
-		// Its caller has given up; without a look at the pause it would run.
-		it('refuses what is older than its deadline', async () => {
-			const {ask, sent} = createEntryWith([lost], {age: 2000});
-			const {outcome} = await ask();
+		// A VM resumes after two seconds with a request of one second in its
+		// socket. Its caller has given up; without pause detection it would run.
+		it('refuses a request that is older than its deadline', async () => {
+			const {handle, sent} = createEntryWith([lost], {age: 2000});
+			const {outcome} = await handle();
 			expect(outcome).to.deep.include({kind: 'notRun'});
 			expect(sent).to.have.length(0);
 		});
 
-		it('would run it if it counted as just sent', async () => {
-			const {ask, sent} = createEntryWith([lost, lost, lost], {age: 0});
-			await ask();
+		it('would run it if it were treated as just sent', async () => {
+			const {handle, sent} = createEntryWith([lost, lost, lost], {age: 0});
+			await handle();
 			expect(sent).not.to.have.length(0);
 		});
 	});
 
-	it('runs no key without an expiry, and proposes one', async () => {
-		// A boat owner's phone sends a payment whose key says no expiry, and
-		// repeats it an hour later. A home can't remember keys for ever; one that
-		// had forgotten this one would charge the payment again.
-		const {ask, sent} = createEntryWith([lost], {idempotent: false});
-		const {outcome, keyExpiry} = await ask();
+	it('refuses a key without an expiry, and proposes one', async () => {
+		// A boat owner's phone sends a payment whose key has no expiry, and repeats
+		// it an hour later. A home can't store keys for ever; once it had dropped
+		// this one, it would charge the payment again.
+		const {handle, sent} = createEntryWith([lost], {idempotent: false});
+		const {outcome, keyExpiry} = await handle();
 		expect(outcome.kind).to.equal('notRun');
 		expect(sent).to.have.length(0);
-		const {outcome: second} = await ask(keyExpiry);
+		const {outcome: second} = await handle(keyExpiry);
 		expect(second.kind).to.equal('unknown');
 		expect(sent).to.have.length(1);
 	});
 
-	it('makes no more attempts than the chain has', async () => {
-		// Every target refuses. Without the bound the entry would go round for as
-		// long as the deadline lasts.
-		const ends = Array.from({length: 9}, () => refusedElsewhere);
-		const {ask, sent} = createEntryWith(ends);
-		const {outcome} = await ask();
+	it('makes at most the attempts of the chain', async () => {
+		// Every target refuses. Without the bound the entry would keep trying until
+		// the deadline.
+		const attemptOutcomes = Array.from({length: 9}, () => refusedElsewhere);
+		const {handle, sent} = createEntryWith(attemptOutcomes);
+		const {outcome} = await handle();
 		expect(outcome).to.deep.include({kind: 'notRun'});
 		expect(sent).to.deep.equal([3, 2, 1]);
 	});
--- a/packages/node/__tests__/exchange-table.spec.ts
+++ b/packages/node/__tests__/exchange-table.spec.ts
@@ -19,23 +19,36 @@
 	type ExchangeTable,
 } from '../src/exchange-table.js';
 
-/** What a peer may do to one answer. */
-const fates = ['whole', 'twice', 'cut', 'never', 'late', 'refused'] as const;
+/** How a peer may deliver one answer. */
+const deliveries = [
+	'whole',
+	'twice',
+	'cut',
+	'never',
+	'late',
+	'refused',
+] as const;
 
-type Fate = (typeof fates)[number];
-type Seen = {fate: Fate; expected: Uint8Array; result: ExchangeResult};
+type Delivery = (typeof deliveries)[number];
+type Received = {
+	delivery: Delivery;
+	expected: Uint8Array;
+	result: ExchangeResult;
+};
 type CreateTable = (send: (message: Message) => boolean) => ExchangeTable;
 
 describe('exchanges on one channel', () => {
 	describe('with a peer that answers late, out of order, cut and twice', () => {
-		it('give thousands of callers their own whole answers', async () => {
-			// Thousands of orders are under way between two nodes when one of them
-			// slows down. Answers come back in any order, some after their callers
-			// gave up, some cut by a broken body, some twice. A boat owner must never
-			// see another's receipt, nor half of their own.
-			const seen = await run(createExchangeTable, 4000, 11);
-			expect(seen.flatMap((each) => findFault(each) ?? [])).to.deep.equal([]);
-			const answered = seen.filter(
+		it('return to each of thousands of callers its own whole answer', async () => {
+			// Thousands of orders are in progress between two nodes when one of them
+			// slows down. Answers arrive in any order, some after their callers gave
+			// up, some cut by a broken body, some twice. A boat owner must never see
+			// the receipt of another, nor half of their own.
+			const received = await run(createExchangeTable, 4000, 11);
+			expect(received.flatMap((each) => findFault(each) ?? [])).to.deep.equal(
+				[],
+			);
+			const answered = received.filter(
 				({result}) => result.outcome.kind === 'answered',
 			);
 			expect(answered.length).to.be.greaterThan(1000);
@@ -43,8 +56,8 @@
 
 		it('do so for any seed and number of callers', async () => {
 			const holds = async (count: number, seed: number) => {
-				const seen = await run(createExchangeTable, count, seed);
-				return seen.every((each) => findFault(each) === undefined);
+				const received = await run(createExchangeTable, count, seed);
+				return received.every((each) => findFault(each) === undefined);
 			};
 
 			await fc.assert(
@@ -53,34 +66,36 @@
 			);
 		});
 
-		it('are seen to mix up answers when matched in their order', async () => {
-			// The same peer, with answers given to whoever waits longest.
-			const seen = await run(createTableInOrder, 400, 11);
-			const faults = seen.flatMap((each) => findFault(each) ?? []);
+		it('would mix up answers if matched in their order', async () => {
+			// The same peer, with each answer given to the caller that has waited
+			// longest.
+			const received = await run(createTableInOrder, 400, 11);
+			const faults = received.flatMap((each) => findFault(each) ?? []);
 			expect(faults).to.include('the answer of another');
 		});
 
-		it('are seen to take a short body for whole when its length is not checked', async () => {
-			// A connection breaks within a body, and what came is taken for all.
-			const seen = await run(createTableWithoutLength, 400, 11);
-			const faults = seen.flatMap((each) => findFault(each) ?? []);
+		it('would accept a short body as whole if its length were not checked', async () => {
+			// A connection breaks within a body, and the part that arrived is
+			// accepted as the whole.
+			const received = await run(createTableWithoutLength, 400, 11);
+			const faults = received.flatMap((each) => findFault(each) ?? []);
 			expect(faults).to.include('a body cut short');
 		});
 	});
 
 	describe('with a channel that closes', () => {
 		it('end as unknown when sent, and as not run when never sent', async () => {
-			// The connection breaks with requests under way. Those may have run, and
-			// saying "not run" of them would invite a second payment.
+			// The connection breaks with requests in progress. These may have run,
+			// and reporting them as "not run" would invite a second payment.
 			const sent: Message[] = [];
 			const table = createExchangeTable((message) => sent.push(message) > 0);
 			const {signal} = new AbortController();
-			const open = table.open((exchange) => callOf(exchange, 'x'), signal);
+			const open = table.open((exchange) => createCall(exchange, 'x'), signal);
 			table.closeAll();
 			const before = await open;
 			expect(before.outcome.kind).to.equal('unknown');
 			const after = await table.open(
-				(exchange) => callOf(exchange, 'y'),
+				(exchange) => createCall(exchange, 'y'),
 				signal,
 			);
 			expect(after.outcome.kind).to.equal('notRun');
@@ -90,12 +105,12 @@
 	});
 });
 
-/** Opens all exchanges at once and lets the peer answer them as the seed says. */
+/** Opens all exchanges at the same time and lets the peer answer them according to the seed. */
 async function run(
 	createTable: CreateTable,
 	count: number,
 	seed: number,
-): Promise<Seen[]> {
+): Promise<Received[]> {
 	const random = createRandom(seed);
 	const calls: CallMessage[] = [];
 	const table = createTable((message) => {
@@ -110,40 +125,40 @@
 		const text = `order ${index}`;
 		return {
 			stop,
-			fate: fates[random.below(fates.length)]!,
+			delivery: deliveries[random.below(deliveries.length)]!,
 			expected: answerBytes(text),
-			result: table.open((exchange) => callOf(exchange, text), stop.signal),
+			result: table.open((exchange) => createCall(exchange, text), stop.signal),
 		};
 	});
 	const answers = calls.flatMap((call, index) =>
-		answer(call, callers[index]!.fate),
+		answer(call, callers[index]!.delivery),
 	);
-	for (const {fate, stop} of callers) {
-		if (fate === 'late') {
+	for (const {delivery, stop} of callers) {
+		if (delivery === 'late') {
 			stop.abort();
 		}
 	}
 
 	for (const message of shuffle(answers, random)) {
-		table.settle(carry(message));
+		table.settle(passThroughCodec(message));
 	}
 
 	table.closeAll();
 	return Promise.all(
-		callers.map(async ({fate, expected, result}) => ({
-			fate,
+		callers.map(async ({delivery, expected, result}) => ({
+			delivery,
 			expected,
 			result: await result,
 		})),
 	);
 }
 
-function answer(call: CallMessage, fate: Fate): AnswerMessage[] {
+function answer(call: CallMessage, delivery: Delivery): AnswerMessage[] {
 	const body = answerBytes(new TextDecoder().decode(call.request.body));
 	const whole = writeAnswer(call.exchange, {
 		outcome: {kind: 'answered', answer: {status: 200, headers: {}, body}},
 	});
-	const byFate: Record<Fate, AnswerMessage[]> = {
+	const byDelivery: Record<Delivery, AnswerMessage[]> = {
 		whole: [whole],
 		late: [whole],
 		twice: [whole, whole],
@@ -159,10 +174,10 @@
 			},
 		],
 	};
-	return byFate[fate];
+	return byDelivery[delivery];
 }
 
-const rightEnds: Record<Fate, Outcome['kind']> = {
+const expectedKinds: Record<Delivery, Outcome['kind']> = {
 	whole: 'answered',
 	twice: 'answered',
 	refused: 'notRun',
@@ -171,13 +186,13 @@
 	late: 'unknown',
 };
 
-/** What is wrong with what a caller got, if anything. */
-function findFault({fate, expected, result}: Seen): string | undefined {
+/** The fault in what a caller received, if any. */
+function findFault({delivery, expected, result}: Received): string | undefined {
 	const {outcome} = result;
 	if (outcome.kind !== 'answered') {
-		return outcome.kind === rightEnds[fate]
+		return outcome.kind === expectedKinds[delivery]
 			? undefined
-			: `${fate}: ${outcome.kind}`;
+			: `${delivery}: ${outcome.kind}`;
 	}
 
 	const {body} = outcome.answer;
@@ -190,7 +205,7 @@
 		: 'the answer of another';
 }
 
-/** Answers go to whoever has waited longest, as on a connection without numbers. */
+/** Gives answers to the caller that has waited longest, as on a connection without numbers. */
 function createTableInOrder(
 	send: (message: Message) => boolean,
 ): ExchangeTable {
@@ -202,7 +217,7 @@
 	};
 }
 
-/** The length that the sender stated is replaced by that of what came. */
+/** Replaces the length that the sender stated by the length that arrived. */
 function createTableWithoutLength(
 	send: (message: Message) => boolean,
 ): ExchangeTable {
@@ -214,7 +229,7 @@
 	};
 }
 
-function callOf(exchange: number, text: string): CallMessage {
+function createCall(exchange: number, text: string): CallMessage {
 	return {
 		type: 'call',
 		exchange,
@@ -241,8 +256,8 @@
 	return new TextEncoder().encode(`${text};`.repeat(copies));
 }
 
-/** Through the codec, as on a socket. */
-function carry(message: AnswerMessage): AnswerMessage {
+/** Encodes and decodes a message, as on a socket. */
+function passThroughCodec(message: AnswerMessage): AnswerMessage {
 	const decoded = decodeMessage(encodeMessage(message))._unsafeUnwrap();
 	if (decoded.type !== 'answer') {
 		throw new Error('the codec changed the type');
--- a/packages/node/__tests__/ingress.spec.ts
+++ b/packages/node/__tests__/ingress.spec.ts
@@ -5,7 +5,7 @@
 import {createIngress} from '../src/ingress.js';
 import {silentReporter} from '../src/node-reporter.js';
 import {createRunningRequests} from '../src/running-requests.js';
-import {createLoneQuarantine} from './lone-quarantine.js';
+import {createLocalQuarantine} from './local-quarantine.js';
 
 const serviceTime = 20;
 const never = new AbortController().signal;
@@ -26,7 +26,7 @@
 	};
 }
 
-function createIngressOf(slots: number) {
+function createIngressWith(slots: number) {
 	const clock = createVirtualClock();
 	const ran: string[] = [];
 	const ingress = createIngress({
@@ -51,7 +51,7 @@
 		announcement: {service: 'orders', slots, connections: 10},
 		running: createRunningRequests(),
 		reporter: silentReporter,
-		quarantine: createLoneQuarantine(clock),
+		quarantine: createLocalQuarantine(clock),
 		getRefusalCode: () => undefined,
 	});
 	const run = async (id: string, signal = never) => {
@@ -64,9 +64,10 @@
 
 describe('ingress', () => {
 	describe('of a target that leaves', () => {
-		it('hands back what waits, finishes what runs and takes nothing new', async () => {
-			// An operator takes a target out while one request runs and one waits.
-			const {clock, ingress, ran, run} = createIngressOf(1);
+		it('refuses waiting requests, finishes running ones and admits no new ones', async () => {
+			// An operator takes a target out of service while one request runs and
+			// one waits.
+			const {clock, ingress, ran, run} = createIngressWith(1);
 			const running = run('running');
 			const waiting = run('waiting');
 			await clock.runTo(1);
@@ -78,38 +79,38 @@
 			expect(ran).to.deep.equal(['running']);
 		});
 
-		it('would go on for entries with an old view if only members were told', async () => {
-			// The same without the word at the ingress: whoever has not heard the
-			// news yet still gets work done at the leaving target.
-			const {clock, ran, run} = createIngressOf(1);
+		it('would still serve entry nodes with an old membership if the ingress did not refuse', async () => {
+			// The same without the refusal at the ingress: an entry node that has not
+			// received the update yet still gets work done at the leaving target.
+			const {clock, ran, run} = createIngressWith(1);
 			const late = run('late');
 			await clock.runTo(2 * serviceTime);
 			expect(await late).to.equal('answered');
 			expect(ran).to.deep.equal(['late']);
 		});
 
-		it('takes work again after it has come back', async () => {
-			const {clock, ingress, run} = createIngressOf(1);
+		it('admits requests again after it has rejoined', async () => {
+			const {clock, ingress, run} = createIngressWith(1);
 			ingress.leave();
 			ingress.rejoin();
-			const asked = run('again');
+			const outcome = run('again');
 			await clock.runTo(2 * serviceTime);
-			expect(await asked).to.equal('answered');
+			expect(await outcome).to.equal('answered');
 		});
 	});
 
 	describe('with a caller that gives up', () => {
-		it('runs nothing for one that had gone before it came', async () => {
-			// A cancelled call is read from the socket after its cancel.
-			const {ran, run} = createIngressOf(1);
+		it('runs no request whose caller had gone before it arrived', async () => {
+			// A cancelled call is read from the socket after its cancellation.
+			const {ran, run} = createIngressWith(1);
 			expect(await run('gone', AbortSignal.abort())).to.equal('notRun');
 			expect(ran).to.deep.equal([]);
 		});
 
-		it('takes its waiting request out of the queue', async () => {
-			// A supervisor closes the roster board while its request waits. Run all
-			// the same, it would take a slot for nobody.
-			const {clock, ran, run} = createIngressOf(1);
+		it('removes its waiting request from the queue', async () => {
+			// A supervisor closes the roster board while its request waits. If it
+			// still ran, it would use a slot for no caller.
+			const {clock, ran, run} = createIngressWith(1);
 			const running = run('running');
 			const caller = new AbortController();
 			const waiting = run('waiting', caller.signal);
--- a/packages/node/__tests__/isolated-turns.spec.ts
+++ b/packages/node/__tests__/isolated-turns.spec.ts
@@ -4,7 +4,7 @@
 const never = new AbortController().signal;
 
 describe('the turns of calls that may crash their target', () => {
-	it('are given one at a time', async () => {
+	it('are granted one at a time', async () => {
 		const turns = createIsolatedTurns();
 		const first = await turns.enter(never);
 		const order: string[] = [];
@@ -20,7 +20,7 @@
 		expect(await turns.enter(never)).not.to.equal(undefined);
 	});
 
-	it('are not given to callers that have gone', async () => {
+	it('are not granted to callers that have gone', async () => {
 		const turns = createIsolatedTurns();
 		const first = await turns.enter(never);
 		const caller = new AbortController();
--- a/packages/node/__tests__/listener-bench.ts
+++ b/packages/node/__tests__/listener-fixture.ts
@@ -1,4 +1,4 @@
-/** A node in this process with a target beside it, for the specs of bad input. */
+/** A node in this process with a target, for the specs of invalid input. */
 import {once} from 'node:events';
 import {createServer, type Server} from 'node:http';
 import {connect, type AddressInfo, type Socket} from 'node:net';
@@ -12,22 +12,24 @@
 	operator: 'operator-secret-0123456789',
 } as const;
 
-/** A running node, and what a spec asks of it. */
-export type ListenerBench = {
+/** A running node with helpers for a spec. */
+export type ListenerFixture = {
 	node: RunningNode;
-	/** Sends one well-formed request, to see that the node still serves. */
-	ask(): Promise<{status: number; text: string}>;
+	/** Sends one valid request, to check that the node still serves. */
+	sendRequest(): Promise<{status: number; text: string}>;
 	/** The value of a series in the node's metrics; 0 when it is absent. */
 	count(series: string): Promise<number>;
 	/** Calls the admin listener with the secret. */
-	operate(path: string): Promise<{status: number; text: string}>;
-	/** How many requests reached the target. */
+	callAdmin(path: string): Promise<{status: number; text: string}>;
+	/** Number of requests that reached the target. */
 	received(): number;
 	close(): Promise<void>;
 };
 
 /** Starts the node; `limits` are lines of its settings. */
-export async function startBench(...limits: string[]): Promise<ListenerBench> {
+export async function startFixture(
+	...limits: string[]
+): Promise<ListenerFixture> {
 	let received = 0;
 	const target = createServer((incoming, response) => {
 		received++;
@@ -51,20 +53,20 @@
 	);
 	const node = await startNode(settings._unsafeUnwrap());
 	const {caller, admin} = node.addresses;
-	const operate = async (path: string) =>
+	const callAdmin = async (path: string) =>
 		read(`http://${admin}${path}`, {
 			authorization: `Bearer ${secrets.operator}`,
 		});
 
 	return {
 		node,
-		operate,
-		ask: async () =>
+		callAdmin,
+		sendRequest: async () =>
 			read(`http://${caller}/orders/1`, {
 				'egretspoke-service': 'orders',
 			}),
 		async count(series) {
-			const {text} = await operate('/metrics');
+			const {text} = await callAdmin('/metrics');
 			const line = text
 				.split('\n')
 				.find((each) => each.startsWith(`${series} `));
@@ -87,7 +89,7 @@
 	return socket;
 }
 
-/** Everything that comes on a connection until the other side closes it. */
+/** Reads everything on a connection until the other side closes it. */
 export async function readToEnd(socket: Socket): Promise<string> {
 	const chunks: string[] = [];
 	socket.setEncoding('latin1');
@@ -100,7 +102,7 @@
 	return chunks.join('');
 }
 
-/** Sends raw bytes and gives whatever comes back until the close. */
+/** Sends raw bytes and returns everything received until the close. */
 export async function exchangeRaw(
 	address: string,
 	...parts: string[]
--- a/packages/node/__tests__/lone-quarantine.ts
+++ b/packages/node/__tests__/local-quarantine.ts
@@ -1,4 +1,4 @@
-/** The quarantine of a node without others, for specs of its parts. */
+/** The quarantine of a node without peers, for specs of its parts. */
 import {createRandom, type Clock} from '@egretspoke/shared';
 import {
 	createNodeQuarantine,
@@ -6,8 +6,8 @@
 } from '../src/node-quarantine.js';
 import {silentReporter} from '../src/node-reporter.js';
 
-/** Creates the quarantine; it tells nobody and keeps nothing. */
-export function createLoneQuarantine(clock: Clock): NodeQuarantine {
+/** Creates a quarantine that sends and persists nothing. */
+export function createLocalQuarantine(clock: Clock): NodeQuarantine {
 	return createNodeQuarantine({
 		clock,
 		random: createRandom(1),
--- a/packages/node/__tests__/node-program.spec.ts
+++ b/packages/node/__tests__/node-program.spec.ts
@@ -16,7 +16,7 @@
 
 const program = fileURLToPath(new URL('../src/main.ts', import.meta.url));
 
-/** Runs the program; `lines` grows as it writes. */
+/** Runs the program; its output lines are appended to `lines`. */
 const start = (...parameters: string[]) => {
 	const child = spawn(
 		process.execPath,
@@ -44,7 +44,7 @@
 			return code;
 		},
 		signal: () => child.kill('SIGTERM'),
-		/** The first line that matches, written already or yet to come. */
+		/** Resolves with the first line that matches, whether already written or not. */
 		waitFor: async (pattern: RegExp): Promise<RegExpExecArray> =>
 			new Promise((resolve) => {
 				const watch = () => {
@@ -71,7 +71,7 @@
 };
 
 /** The answer as text, or `cut` when the connection ended without one. */
-const ask = async (url: string): Promise<string> => {
+const sendRequest = async (url: string): Promise<string> => {
 	try {
 		const answer = await request(url, {
 			headers: {'egretspoke-service': 'orders'},
@@ -100,7 +100,7 @@
 		return file;
 	};
 
-	/** Settings of a node whose platform answers nothing. */
+	/** Settings of a node whose platform is unreachable. */
 	const writeSettings = (admin = '127.0.0.1:0', ...rest: string[]) =>
 		write(
 			'node: vm-1',
@@ -126,21 +126,21 @@
 			);
 		});
 
-		it('ends with 0 for settings without faults', async () => {
+		it('exits with 0 for settings without faults', async () => {
 			const run = start('--settings', writeSettings(), '--check');
 			expect(await run.ended()).to.equal(0);
 			expect(run.lines).to.have.length(1);
 		});
 
-		it('ends with 2 for a command line that makes no sense', async () => {
+		it('exits with 2 for an invalid command line', async () => {
 			expect(await start('--nonsense').ended()).to.equal(2);
 		});
 	});
 
 	describe('starting', () => {
-		it('gives one line when a port is in use', async () => {
+		it('prints one line when a port is in use', async () => {
 			// Two nodes are configured on one VM with the same port, or an old one
-			// still runs. The line has to name the listener, not a stack.
+			// still runs. The line has to name the listener instead of a stack.
 			const other = createServer();
 			const address = await listenAnywhere(other);
 			const run = start('--settings', writeSettings(address));
@@ -151,7 +151,7 @@
 			]);
 		});
 
-		it('gives one line for an address that this VM does not have', async () => {
+		it('prints one line for an address that this VM does not have', async () => {
 			const run = start('--settings', writeSettings('192.0.2.1:7402'));
 			expect(await run.ended()).to.equal(1);
 			expect(run.errors).to.have.length(1);
@@ -160,7 +160,7 @@
 			);
 		});
 
-		it('serves without the platform and says so in one line', async () => {
+		it('serves without the platform and logs this in one line', async () => {
 			// The platform is down while a VM is replaced. A node that refused to
 			// start would turn an outage of the store into one of the service.
 			const run = start('--settings', writeSettings());
@@ -203,25 +203,26 @@
 				),
 			);
 			const [, caller] = await run.waitFor(/ callers (?<caller>[\d.:]+),/u);
-			const asked = ask(`http://${caller!}/orders`);
+			const answered = sendRequest(`http://${caller!}/orders`);
 			await arrived;
-			return {run, asked};
+			return {run, answered};
 		};
 
-		it('finishes what is in flight on a first signal', async () => {
-			const {run, asked} = await startWithRequest();
+		it('finishes requests in flight on a first signal', async () => {
+			const {run, answered} = await startWithRequest();
 			run.signal();
 			await run.waitFor(/ 2003 leaving /u);
 			answer();
-			expect(await asked).to.equal('200 done');
+			expect(await answered).to.equal('200 done');
 			expect(await run.ended()).to.equal(0);
 			expect(run.lines.at(-1)).to.contain('drained; 0 requests cut');
 		});
 
-		it('ends at once on a second one and says what it cut', async () => {
-			// A target hangs, and whoever stops the VM will not wait for the drain
-			// time. The cut has to be told, since its caller can't know what ran.
-			const {run, asked} = await startWithRequest();
+		it('stops immediately on a second one and reports the cut requests', async () => {
+			// A target hangs, and the operator does not wait for the drain timeout.
+			// The cut has to be reported, because its caller cannot determine what
+			// ran.
+			const {run, answered} = await startWithRequest();
 			run.signal();
 			await run.waitFor(/ 2003 leaving /u);
 			run.signal();
@@ -229,7 +230,7 @@
 			expect(run.errors).to.deep.equal([
 				'stopped at once on a second signal; 1 requests cut',
 			]);
-			expect(await asked).not.to.equal('200 done');
+			expect(await answered).not.to.equal('200 done');
 		});
 	});
 });
--- a/packages/node/__tests__/observing-reporter.spec.ts
+++ b/packages/node/__tests__/observing-reporter.spec.ts
@@ -39,7 +39,7 @@
 };
 
 describe('observing reporter', () => {
-	it('logs, remembers and counts a decision', async () => {
+	it('logs, stores and counts a decision', async () => {
 		const {log, memory, metrics, reporter, written} = createObserved();
 		reporter.recordDecision({
 			name: 'retried',
@@ -55,7 +55,7 @@
 		);
 	});
 
-	it('logs and counts notices', async () => {
+	it('logs and counts events', async () => {
 		const {log, metrics, reporter, written} = createObserved();
 		reporter.recordEvent({name: 'malformedRequest', fault: 'tooLarge'});
 		reporter.recordEvent({name: 'peerRefused', detail: 'wrong signature'});
@@ -69,7 +69,7 @@
 		expect(text).to.contain('listener="peer",kind="handshake"} 1');
 	});
 
-	it('counts an outcome that is not known under its error, and remembers the end', async () => {
+	it('counts an unknown outcome under its error, and stores the end of the request', async () => {
 		const {memory, metrics, reporter} = createObserved();
 		reporter.recordRequestEnd({
 			request: 'r1',
--- a/packages/node/__tests__/pause-watch.spec.ts
+++ b/packages/node/__tests__/pause-watch.spec.ts
@@ -3,7 +3,7 @@
 import {createPauseWatch} from '../src/pause-watch.js';
 
 describe('pause watch', () => {
-	it('sees nothing in ordinary running', () => {
+	it('reports no age in normal operation', () => {
 		const clock = createVirtualClock();
 		const watch = createPauseWatch(clock, new AbortController().signal);
 		clock.advanceTo(5020);
@@ -11,9 +11,9 @@
 	});
 
 	describe('of a process that was frozen', () => {
-		// A VM is paused for two seconds with requests in its sockets. It wakes
-		// either in its timers or in its sockets first; the requests are as old
-		// as the pause in both cases.
+		// A VM is paused for two seconds with requests in its sockets. After the
+		// pause either its timers or its sockets are served first; the requests are
+		// as old as the pause in both cases.
 		const create = () => {
 			const real = createVirtualClock();
 			let offset = 0;
@@ -24,18 +24,18 @@
 			return {real, watch};
 		};
 
-		it('knows the age when the sockets are read first', () => {
+		it('reports the age when the sockets are read first', () => {
 			const {watch} = create();
 			expect(watch.maxMessageAge()).to.equal(2000);
 		});
 
-		it('knows the age when the timers fire first', () => {
+		it('reports the age when the timers fire first', () => {
 			const {real, watch} = create();
 			real.advanceTo(1050);
 			expect(watch.maxMessageAge()).to.equal(2050);
 		});
 
-		it('trusts what is read after the next tick', () => {
+		it('reports no age after the next tick', () => {
 			const {real, watch} = create();
 			real.advanceTo(1100);
 			expect(watch.maxMessageAge()).to.equal(0);
--- a/packages/node/__tests__/peer-handshake.spec.ts
+++ b/packages/node/__tests__/peer-handshake.spec.ts
@@ -5,7 +5,7 @@
 const opener = {node: 'vm-1', incarnation: 1, dataCentre: 'a'};
 const acceptor = {node: 'vm-2', incarnation: 4, dataCentre: 'b'};
 
-function sentBy(
+function getSentMessage(
 	step: ReturnType<ReturnType<typeof createHandshake>['receive']>,
 ): Message {
 	const value = step._unsafeUnwrap();
@@ -17,11 +17,11 @@
 }
 
 describe('peer handshake', () => {
-	it('tells each side who the other is', () => {
+	it('gives each side the identity of the other', () => {
 		const left = createHandshake('opener', opener, 'secret');
 		const right = createHandshake('acceptor', acceptor, 'secret');
-		const leftProof = sentBy(left.receive(right.hello));
-		const rightProof = sentBy(right.receive(left.hello));
+		const leftProof = getSentMessage(left.receive(right.hello));
+		const rightProof = getSentMessage(right.receive(left.hello));
 		expect(left.receive(rightProof)._unsafeUnwrap()).to.deep.equal({
 			kind: 'done',
 			peer: acceptor,
@@ -32,28 +32,28 @@
 		});
 	});
 
-	describe('with a peer that may not come in', () => {
+	describe('with a peer that must be refused', () => {
 		it('refuses another secret', () => {
-			// Somebody who knows the port but not the secret opens a connection.
-			// Without the proof its forged members would enter every node's view.
+			// A process that has the port but not the secret opens a connection.
+			// Without the proof, members that it forges would reach every node.
 			const left = createHandshake('opener', opener, 'guessed');
 			const right = createHandshake('acceptor', acceptor, 'secret');
-			const proof = sentBy(left.receive(right.hello));
+			const proof = getSentMessage(left.receive(right.hello));
 			right.receive(left.hello);
 			expect(right.receive(proof)._unsafeUnwrapErr()).to.equal('signature');
 		});
 
 		it('refuses its own proof sent back', () => {
-			// An attacker without the secret echoes what the node itself signed.
+			// An attacker without the secret returns what the node itself signed.
 			const right = createHandshake('acceptor', acceptor, 'secret');
 			const {hello} = right;
 			const forged: Message = {...hello, ...opener};
-			const proof = sentBy(right.receive(forged));
+			const proof = getSentMessage(right.receive(forged));
 			expect(right.receive(proof)._unsafeUnwrapErr()).to.equal('signature');
 		});
 
 		it('refuses another version of the protocol', () => {
-			// During an upgrade two versions meet; half-understood messages would
+			// During an upgrade two versions meet; partly understood messages would
 			// be worse than a closed connection.
 			const right = createHandshake('acceptor', acceptor, 'secret');
 			const left = createHandshake('opener', opener, 'secret');
@@ -68,8 +68,8 @@
 		});
 
 		it('refuses itself', () => {
-			// A node whose advertised address leads to itself would otherwise pass
-			// requests round for ever.
+			// A node whose advertised address leads to itself would otherwise forward
+			// requests to itself in a loop.
 			const right = createHandshake('acceptor', acceptor, 'secret');
 			const left = createHandshake('opener', acceptor, 'secret');
 			expect(right.receive(left.hello)._unsafeUnwrapErr()).to.equal('self');
--- a/packages/node/__tests__/process-cluster.ts
+++ b/packages/node/__tests__/process-cluster.ts
@@ -1,7 +1,7 @@
 /**
  * Real processes for the failures that only a process has: kill, freeze and
- * planned stop. The platform and the targets are the stand-ins. Everything
- * waits for events, never for a time to pass.
+ * planned stop. The platform and the targets are stand-ins. Everything waits for
+ * events and never for a fixed time.
  */
 import {mkdtemp, rm, writeFile} from 'node:fs/promises';
 import {tmpdir} from 'node:os';
@@ -25,8 +25,8 @@
 	admin: string;
 };
 
-/** An answer as a caller sees it. */
-export type SeenAnswer = {
+/** An answer as received by a caller. */
+export type CallerAnswer = {
 	status: number;
 	outcome: string;
 	error: string;
@@ -37,7 +37,7 @@
 	body: string;
 };
 
-/** What a machine's target is like. */
+/** The properties of the target of a machine. */
 export type MachineOptions = {
 	service: string;
 	slots: number;
@@ -48,14 +48,14 @@
 /** The processes of one test. */
 export type ProcessCluster = {
 	startMachine(name: string, options: MachineOptions): Promise<Machine>;
-	/** Resolves when the machine's node knows these others as active. */
+	/** Resolves when the node of the machine has these members as active. */
 	waitForMembers(machine: Machine, names: string[]): Promise<void>;
-	ask(
+	sendRequest(
 		machine: Machine,
 		service: string,
 		options?: {method?: string; headers?: Record<string, string>},
-	): Promise<SeenAnswer>;
-	/** How often each request id ran at the machine's target. */
+	): Promise<CallerAnswer>;
+	/** How often each request id ran at the target of the machine. */
 	runsAt(machine: Machine): Promise<Record<string, number>>;
 	stop(): Promise<void>;
 };
@@ -107,7 +107,7 @@
 		},
 		async waitForMembers({admin}, names) {
 			for (;;) {
-				// eslint-disable-next-line no-await-in-loop -- asks until it is so.
+				// eslint-disable-next-line no-await-in-loop -- polls until it is true.
 				const answer = await send(`http://${admin}/v1/targets`);
 				// eslint-disable-next-line no-await-in-loop -- its body belongs to it.
 				const rows = (await answer.body.json()) as Array<{
@@ -122,7 +122,7 @@
 				}
 			}
 		},
-		async ask({caller}, service, {method = 'GET', headers = {}} = {}) {
+		async sendRequest({caller}, service, {method = 'GET', headers = {}} = {}) {
 			const answer = await send(`http://${caller}/work`, {
 				method: method as 'GET',
 				dispatcher: agent,
--- a/packages/node/__tests__/process-failures.spec.ts
+++ b/packages/node/__tests__/process-failures.spec.ts
@@ -44,10 +44,10 @@
 		return counts;
 	};
 
-	/** Resolves once the machine's target has run something. */
+	/** Resolves once the target of the machine has run a request. */
 	const waitForRun = async (machine: Machine) => {
 		for (;;) {
-			// eslint-disable-next-line no-await-in-loop -- asks until it is so.
+			// eslint-disable-next-line no-await-in-loop -- polls until it is true.
 			const runs = await cluster.runsAt(machine);
 			if (Object.keys(runs).length > 0) {
 				return;
@@ -56,13 +56,13 @@
 	};
 
 	describe('stopped as planned under load', () => {
-		it('cuts nothing, and hands back what waited', async () => {
-			// An operator stops a VM while its target is busy and more requests
-			// wait. Without the drain those in flight would be cut, and the
-			// interviewers would see errors for shifts that were booked.
+		it('cuts no request, and refuses those that wait', async () => {
+			// An operator stops a VM while its target is busy and more requests wait.
+			// Without the drain those in flight would be cut, and the interviewers
+			// would see errors for shifts that were booked.
 			const [first, second] = await startPair(200);
 			const answers = Array.from({length: 12}, async () =>
-				cluster.ask(first, service),
+				cluster.sendRequest(first, service),
 			);
 			await waitForRun(second);
 			second.process.signal('SIGTERM');
@@ -73,8 +73,8 @@
 				outcome,
 				runs: counts.get(request) ?? 0,
 			}));
-			// Eight slots serve twelve requests, so some may be refused; none
-			// may be cut, and none may run and be called refused.
+			// Eight slots serve twelve requests, so some may be refused. None may be
+			// cut, and none may run and be reported as refused.
 			const expected = seen.map(({outcome}) =>
 				outcome === 'not-run'
 					? {outcome, runs: 0}
@@ -84,12 +84,12 @@
 			expect(summary.some(({runs}) => runs === 1)).to.equal(true);
 		});
 
-		it('would cut what runs if it were killed instead', async () => {
-			// The same stop without the drain: what ran there is lost, and runs
-			// once more elsewhere or ends unknown.
+		it('would cut running requests if it were killed instead', async () => {
+			// The same stop without the drain: requests that ran there are lost, and
+			// either run once more elsewhere or end as unknown.
 			const [first, second] = await startPair(1500);
 			const answers = Array.from({length: 12}, async () =>
-				cluster.ask(first, service),
+				cluster.sendRequest(first, service),
 			);
 			await waitForRun(second);
 			await second.process.kill();
@@ -101,12 +101,12 @@
 			expect(isHarmed).to.equal(true);
 		});
 
-		it('ends at once on a second signal, and says what it cut', async () => {
+		it('stops immediately on a second signal, and reports the cut requests', async () => {
 			// The operator can't wait for a long request and signals again.
 			const [first, second] = await startPair(3_600_000);
 			const headers = {'egretspoke-deadline': '4000'};
 			const asked = Promise.allSettled([
-				cluster.ask(second, service, {headers}),
+				cluster.sendRequest(second, service, {headers}),
 			]);
 			await Promise.race([waitForRun(first), waitForRun(second)]);
 			second.process.signal('SIGTERM');
@@ -121,16 +121,16 @@
 		});
 	});
 
-	it('runs nothing new at a target that was told to leave', async () => {
-		// An operator takes a target out; the other node's view is still the old
-		// one. Without the refusal at the leaving node it would go on working
-		// for as long as the news takes.
+	it('runs no new request at a leaving target', async () => {
+		// An operator takes a target out of service; the other node still has the
+		// old membership. Without the refusal at the leaving node, the target would
+		// get work until the update arrives.
 		const [first, second] = await startPair(1);
 		await send(`http://${second.admin}/v1/leave`, {method: 'POST'});
 		const before = await cluster.runsAt(second);
 		for (let index = 0; index < 40; index++) {
 			// eslint-disable-next-line no-await-in-loop -- one at a time, so that nothing is overloaded.
-			const {status} = await cluster.ask(first, service);
+			const {status} = await cluster.sendRequest(first, service);
 			expect(status).to.equal(200);
 		}
 
@@ -138,10 +138,10 @@
 	});
 
 	describe('killed while its target runs a payment', () => {
-		it('lets the payment run once and never says that it did not run', async () => {
-			// The VM of the target dies between hand-over and answer. The boat
-			// owner repeats the payment with its key; a second run would charge
-			// twice, and "not run" would be a lie.
+		it('runs the payment once and never reports it as not run', async () => {
+			// The VM of the target dies between hand-over and answer. The boat owner
+			// repeats the payment with its key; a second run would charge twice, and
+			// "not run" would be false.
 			const first = await cluster.startMachine('vm-1', {
 				service: 'history',
 				slots: 4,
@@ -155,7 +155,11 @@
 			await cluster.waitForMembers(first, ['vm-1', 'vm-2']);
 			const key = {'idempotency-key': 'twine-1'};
 			const options = {method: 'POST', headers: key};
-			const {home, keyExpiry} = await cluster.ask(first, service, options);
+			const {home, keyExpiry} = await cluster.sendRequest(
+				first,
+				service,
+				options,
+			);
 			const homed = {
 				method: 'POST',
 				headers: {
@@ -164,11 +168,11 @@
 					'egretspoke-key-expiry': keyExpiry,
 				},
 			};
-			const paying = cluster.ask(first, service, homed);
+			const paying = cluster.sendRequest(first, service, homed);
 			await waitForRun(second);
 			await second.process.kill();
 			const seen = await paying;
-			const repeated = await cluster.ask(first, service, homed);
+			const repeated = await cluster.sendRequest(first, service, homed);
 			expect([seen.outcome, repeated.outcome]).to.deep.equal([
 				'unknown',
 				'unknown',
@@ -179,18 +183,18 @@
 	});
 
 	describe('frozen past the deadline of a request', () => {
-		it('does not run it after the wake', async () => {
-			// The home of a key is paused, its caller's deadline passes, and it
-			// wakes with the request in its socket. Without a look at the pause it
+		it('does not run it after the pause', async () => {
+			// The home of a key is paused, the deadline of its caller passes, and it
+			// resumes with the request in its socket. Without pause detection it
 			// would book a shift that was given up long ago.
 			const [first, second] = await startPair(1);
 			const key = {'idempotency-key': 'shift-1', 'egretspoke-deadline': '800'};
-			const {home, keyExpiry} = await cluster.ask(first, service, {
+			const {home, keyExpiry} = await cluster.sendRequest(first, service, {
 				method: 'POST',
 				headers: key,
 			});
 			first.process.signal('SIGSTOP');
-			const given = await cluster.ask(second, service, {
+			const given = await cluster.sendRequest(second, service, {
 				method: 'POST',
 				headers: {
 					...key,
--- a/packages/node/__tests__/settings-page.spec.ts
+++ b/packages/node/__tests__/settings-page.spec.ts
@@ -28,7 +28,7 @@
 };
 
 describe('the page of settings', () => {
-	it('has a row for each key and no other', () => {
+	it('has exactly one row for each key and no others', () => {
 		const rows = [...page.matchAll(/^\| `(?<key>[\w.]+)` \|/gmu)];
 		expect(rows.map(({groups}) => groups?.key)).to.deep.equal(
 			listKeys(nodeSettingsSchema, ''),
--- a/packages/node/__tests__/settings.spec.ts
+++ b/packages/node/__tests__/settings.spec.ts
@@ -2,7 +2,7 @@
 import {expect} from 'chai';
 import {parseNodeSettings, readNodeSettings} from '../src/index.js';
 
-const least = [
+const minimalLines = [
 	'node: orders-1',
 	'dataCentre: accra-a',
 	'platform: {address: "http://127.0.0.1:7500"}',
@@ -16,7 +16,7 @@
 
 describe('node settings', () => {
 	it('have defaults for all but the node, its data centre and the platform', () => {
-		const settings = parseNodeSettings(least.join('\n'), 'node.yaml');
+		const settings = parseNodeSettings(minimalLines.join('\n'), 'node.yaml');
 		const value = settings._unsafeUnwrap();
 		expect(value.listeners.caller).to.equal('127.0.0.1:7400');
 		expect(value.platform.timeout).to.equal(2000);
@@ -29,10 +29,10 @@
 		});
 	});
 
-	it('take a target with its announcement', () => {
+	it('accept a target with its announcement', () => {
 		const settings = parseNodeSettings(
 			[
-				...least,
+				...minimalLines,
 				'target:',
 				'  address: 127.0.0.1:8080',
 				'  announcement: {service: orders, slots: 100, connections: 680}',
@@ -42,7 +42,7 @@
 		expect(settings._unsafeUnwrap().target?.announcement?.slots).to.equal(100);
 	});
 
-	it('report what is missing from an empty document', () => {
+	it('report the missing keys of an empty document', () => {
 		expect(findingsOf('{}')).to.deep.equal([
 			'node.yaml:1:1 node: is missing (expected text)',
 			'node.yaml:1:1 dataCentre: is missing (expected text)',
@@ -53,7 +53,7 @@
 	it('report an unknown key, a wrong unit, a bad address and clashing ports together', () => {
 		expect(
 			findingsOf(
-				...least,
+				...minimalLines,
 				'listeners:',
 				'  caller: 127.0.0.1:7401',
 				'  admin: localhost:7402',
@@ -70,10 +70,10 @@
 	});
 
 	it('refuse a peer or admin listener that is open without a secret', () => {
-		// Somebody binds the admin listener to the VM's address and forgets the
-		// secret. Every caller in the network could then drain the node.
+		// The admin listener is bound to the address of the VM without a secret.
+		// Every caller in the network could then drain the node.
 		const lines = [
-			...least,
+			...minimalLines,
 			'listeners: {peer: "10.0.0.1:7401", admin: "10.0.0.1:7402"}',
 		];
 		expect(findingsOf(...lines)).to.have.length(2);
@@ -85,35 +85,35 @@
 		).to.deep.equal([]);
 	});
 
-	it('ask what to tell others about a wildcard address', () => {
+	it('require an advertised address for a wildcard address', () => {
 		expect(
-			findingsOf(...least, 'listeners: {caller: "0.0.0.0:7400"}')[0],
+			findingsOf(...minimalLines, 'listeners: {caller: "0.0.0.0:7400"}')[0],
 		).to.contain("0.0.0.0 can't be advertised");
 		expect(
 			findingsOf(
-				...least,
+				...minimalLines,
 				'listeners: {caller: "0.0.0.0:7400"}',
 				'advertise: {caller: "10.0.0.1:7400"}',
 			),
 		).to.deep.equal([]);
 	});
 
-	it('refuse a lease that no probe can keep', () => {
+	it('refuse a lease that is too short for the probe', () => {
 		expect(
-			findingsOf(...least, 'timings: {probe: 2s, lease: 3s}')[0],
+			findingsOf(...minimalLines, 'timings: {probe: 2s, lease: 3s}')[0],
 		).to.contain('at least twice timings.probe');
 	});
 
-	it('let every listener take a free port', () => {
+	it('allow a free port for every listener', () => {
 		expect(
 			findingsOf(
-				...least,
+				...minimalLines,
 				'listeners: {caller: "127.0.0.1:0", peer: "127.0.0.1:0", admin: "127.0.0.1:0"}',
 			),
 		).to.deep.equal([]);
 	});
 
-	it('say which file cannot be read', () => {
+	it('report a file that cannot be read', () => {
 		expect(
 			readNodeSettings('nowhere.yaml')
 				._unsafeUnwrapErr()
--- a/packages/node/__tests__/supervisor.spec.ts
+++ b/packages/node/__tests__/supervisor.spec.ts
@@ -12,11 +12,11 @@
 		return {clock, failures, supervisor};
 	};
 
-	it('restarts a failed child alone, later each time', async () => {
-		// One peer's task throws on every start. Without the supervisor its
-		// error would end the process and every request in flight with it.
+	it('restarts only a failed child, with increasing delays', async () => {
+		// The task of one peer throws on every start. Without the supervisor its
+		// error would end the process and every request in flight.
 		const {clock, failures, supervisor} = create();
-		let siblingTurns = 0;
+		let siblingTicks = 0;
 		supervisor.start('faulty', async () => {
 			throw new Error('broken');
 		});
@@ -24,7 +24,7 @@
 			while (!signal.aborted) {
 				// eslint-disable-next-line no-await-in-loop -- a task that ticks.
 				await sleep(clock, 100, signal);
-				siblingTurns++;
+				siblingTicks++;
 			}
 		});
 		await clock.runTo(1000);
@@ -32,10 +32,10 @@
 			100, 200, 400, 800,
 		]);
 		expect(failures[0]?.path).to.equal('root/faulty');
-		expect(siblingTurns).to.equal(10);
+		expect(siblingTicks).to.equal(10);
 	});
 
-	it('never waits longer than five seconds before a restart', async () => {
+	it('limits the delay before a restart to five seconds', async () => {
 		const {clock, failures, supervisor} = create();
 		supervisor.start('faulty', async () => {
 			throw new Error('broken');
