--- a/packages/faults/src/fake-node.ts
+++ b/packages/faults/src/fake-node.ts
@@ -77,7 +77,7 @@
 		transport: network.attach(endpoint),
 		supervisor,
 		reporter: silentReporter,
-		keepSuspects(suspects) {
+		persistSuspects(suspects) {
 			suspectRows.note(suspects);
 		},
 		attemptHandler: options.handlers.attempt,
@@ -126,7 +126,7 @@
 		random: random.fork(),
 		node: name,
 		onSuspects(suspects) {
-			core.quarantine.takeStored(suspects);
+			core.quarantine.applyStoredSuspects(suspects);
 		},
 	});
 	void control.configuration.accepted.observe(({version}) => {
--- a/packages/node/__tests__/observing-reporter.spec.ts
+++ b/packages/node/__tests__/observing-reporter.spec.ts
@@ -39,9 +39,9 @@
 };
 
 describe('observing reporter', () => {
-	it('logs, remembers and counts a decision', async () => {
+	it('logs, stores and counts a decision', async () => {
 		const {log, memory, metrics, reporter, written} = createObserved();
-		reporter.decide({
+		reporter.recordDecision({
 			name: 'retried',
 			request: 'r1',
 			reason: 'not run at b',
@@ -55,12 +55,12 @@
 		);
 	});
 
-	it('logs and counts notices', async () => {
+	it('logs and counts events', async () => {
 		const {log, metrics, reporter, written} = createObserved();
-		reporter.notice({name: 'malformedRequest', fault: 'tooLarge'});
-		reporter.notice({name: 'peerRefused', detail: 'wrong signature'});
-		reporter.notice({name: 'operatorRefused', detail: 'unauthorized'});
-		reporter.notice({name: 'memberChanged', node: 'b', state: 'gone'});
+		reporter.recordEvent({name: 'malformedRequest', fault: 'tooLarge'});
+		reporter.recordEvent({name: 'peerRefused', detail: 'wrong signature'});
+		reporter.recordEvent({name: 'operatorRefused', detail: 'unauthorized'});
+		reporter.recordEvent({name: 'memberChanged', node: 'b', state: 'gone'});
 		log.flush();
 		expect(written.join('')).to.contain('member b is gone');
 		const text = await metrics.render();
@@ -69,9 +69,9 @@
 		expect(text).to.contain('listener="peer",kind="handshake"} 1');
 	});
 
-	it('counts an outcome that is not known under its error, and remembers the end', async () => {
+	it('counts an unknown outcome under its error, and stores the end of the request', async () => {
 		const {memory, metrics, reporter} = createObserved();
-		reporter.ended({
+		reporter.recordRequestEnd({
 			request: 'r1',
 			service: 'orders',
 			requestClass: 'normal',
--- a/packages/node/src/attempt-sender.ts
+++ b/packages/node/src/attempt-sender.ts
@@ -1,6 +1,6 @@
 /**
- * One attempt at one target: the routing decision, the way to the target's
- * node, and what the router learns from its end.
+ * One attempt at one target: makes the routing decision, sends the request to
+ * the target's node and reports the result to the router.
  */
 import {
 	ErrorCode,
@@ -19,26 +19,26 @@
 import type {NodeReporter} from './node-reporter.js';
 import {refuseTicket} from './ticket-refusal.js';
 
-/** Reaches the ingress of a node, be it this one or a peer. */
+/** Calls the ingress of a node, which is either this one or a peer. */
 export type TargetPath = (
 	node: string,
 	request: CallRequest,
 	signal: AbortSignal,
 ) => Promise<ExchangeResult>;
 
-/** The right to send. */
+/** The ticket that permits sending an attempt. */
 export type SendTicket = Pick<HandOverTicket, 'handOver' | 'surrender'>;
 
-/** How an attempt ended and where it went. */
+/** The outcome of an attempt and where it was sent. */
 export type SentAttempt = {
 	outcome: Outcome;
-	/** Absent when the router refused. */
+	/** Absent when the attempt was refused before it was sent. */
 	result?: AttemptResult;
-	/** Attempts given to the chain below. */
-	given: number;
+	/** Attempts granted to the downstream chain. */
+	granted: number;
 };
 
-/** What the sender is built from. */
+/** Dependencies of the sender. */
 export type AttemptSenderContext = {
 	clock: Clock;
 	routing: RoutingPolicy;
@@ -46,7 +46,7 @@
 	path: TargetPath;
 };
 
-/** Sends one attempt; resolves always. */
+/** Sends one attempt; always resolves. */
 export type AttemptSender = (
 	request: CallRequest,
 	facts: CallFacts,
@@ -69,15 +69,19 @@
 		const decision = routing.choose(facts, exclude, clock.now());
 		if (decision.kind === 'refuse') {
 			const {code, reason, retryAfter} = decision;
-			reporter.decide({name: 'routingRefused', request: request.id, reason});
+			reporter.recordDecision({
+				name: 'routingRefused',
+				request: request.id,
+				reason,
+			});
 			return {
 				outcome: refuseTicket(ticket, {code, reason, retryAfter}),
-				given: 0,
+				granted: 0,
 			};
 		}
 
 		const {node, reason} = decision;
-		reporter.decide({
+		reporter.recordDecision({
 			name: 'routed',
 			request: request.id,
 			reason,
@@ -89,23 +93,23 @@
 					code: ErrorCode.DeadlinePassed,
 					retryAfter: 0,
 				}),
-				given: 0,
+				granted: 0,
 			};
 		}
 
 		const startedAt = clock.now();
-		const given = Math.max(1, routing.downstreamAttempts(facts));
+		const granted = Math.max(1, routing.downstreamAttempts(facts));
 		routing.started(facts, node, startedAt);
 		const {outcome, load} = await context.path(
 			node,
-			{...request, attempts: given, timeLeft: facts.deadline - startedAt},
+			{...request, attempts: granted, timeLeft: facts.deadline - startedAt},
 			signal,
 		);
 		const now = clock.now();
 		observe(request.service, node, load);
 		const result = readResult(node, outcome, now - startedAt, signal);
 		routing.finished(facts, {...result, ...(load && {load})}, now);
-		return {outcome, result, given};
+		return {outcome, result, granted};
 	};
 }
 
--- a/packages/node/src/attempts.ts
+++ b/packages/node/src/attempts.ts
@@ -1,4 +1,4 @@
-/** The attempts of one request at its entry node: what was tried, and what may be tried yet. */
+/** The attempts of one request at its entry node: tracks what was tried and how many attempts are left. */
 import {
 	createRefusal,
 	ErrorCode,
@@ -18,13 +18,13 @@
 /** The attempts of one request. */
 export type Attempts = {
 	send(ticket: SendTicket, signal: AbortSignal): Promise<Outcome>;
-	/** Resolves with nothing once another attempt may be made, or with the refusal to give. */
+	/** Resolves with undefined once another attempt may be made, or with the refusal to return. */
 	retry(refusal: Refusal, signal: AbortSignal): Promise<Refusal | undefined>;
-	/** Gives what was not used back to the chain. */
+	/** Returns unused attempts to the chain. */
 	finish(): void;
 };
 
-/** What the attempts are made with. */
+/** Dependencies of the attempts. */
 export type AttemptsContext = {
 	clock: Clock;
 	routing: RoutingPolicy;
@@ -32,10 +32,10 @@
 	reporter: NodeReporter;
 };
 
-/** Tells the attempts of one process apart, also those of a request that passes its node twice. */
+/** Makes attempt ids unique within the process, also when a request passes this node twice. */
 let attemptNumber = 0;
 
-/** Creates the attempts of a request that has made none. */
+/** Creates the attempts of a new request. */
 export function createAttempts(
 	context: AttemptsContext,
 	call: EntryCall,
@@ -44,9 +44,9 @@
 	const {request} = call;
 	let left = request.attempts;
 	let exclude: string[] = [];
-	let last: {facts: CallFacts; result: AttemptResult} | undefined;
+	let lastAttempt: {facts: CallFacts; result: AttemptResult} | undefined;
 
-	const facts = (): CallFacts => ({
+	const createFacts = (): CallFacts => ({
 		id: `${request.id}~${attemptNumber++}`,
 		chain: request.id,
 		service: request.service,
@@ -62,27 +62,29 @@
 	return {
 		async send(ticket, signal) {
 			const options = {exclude, ticket, signal};
-			const attempt = facts();
+			const attempt = createFacts();
 			const sent = await context.send(request, attempt, options);
-			last = sent.result && {facts: attempt, result: sent.result};
-			// A definite refusal used nothing below; anything else may have used all it was given.
-			left -= sent.outcome.kind === 'notRun' ? 0 : sent.given;
+			lastAttempt = sent.result && {facts: attempt, result: sent.result};
+			// A definite refusal used no attempts downstream; any other outcome may
+			// have used all that were granted.
+			left -= sent.outcome.kind === 'notRun' ? 0 : sent.granted;
 			return sent.outcome;
 		},
 		async retry(refusal, signal) {
-			if (last === undefined || signal.aborted) {
+			if (lastAttempt === undefined || signal.aborted) {
 				return refusal;
 			}
 
-			if (last.result.result === 'unknown') {
-				// Its attempt is already deducted; the decision expects it included.
+			if (lastAttempt.result.result === 'unknown') {
+				// The attempt is already deducted, but the decision expects a count
+				// that includes it.
 				left += 1;
 			}
 
-			const tried = {...last.facts, attempts: left};
-			const decision = routing.retry(tried, last.result, clock.now());
+			const tried = {...lastAttempt.facts, attempts: left};
+			const decision = routing.retry(tried, lastAttempt.result, clock.now());
 			left -= 1;
-			reporter.decide({
+			reporter.recordDecision({
 				name: decision.kind === 'retry' ? 'retried' : 'retryRefused',
 				request: request.id,
 				reason: decision.reason,
@@ -101,8 +103,8 @@
 			return signal.aborted ? createRefusal(ErrorCode.CallerGone) : undefined;
 		},
 		finish() {
-			const spare = Math.min(left, request.attempts - 1);
-			call.allotment?.giveBack(Math.max(0, spare));
+			const unused = Math.min(left, request.attempts - 1);
+			call.allocation?.returnUnused(Math.max(0, unused));
 		},
 	};
 }
--- a/packages/node/src/caller-listener.ts
+++ b/packages/node/src/caller-listener.ts
@@ -1,6 +1,6 @@
 /**
- * The HTTP listener for callers: one task a connection, each request read
- * whole within its limits, answered once.
+ * The HTTP listener for callers, with one task per connection: each request is
+ * read completely within its limits and answered once.
  */
 import {once} from 'node:events';
 import {
@@ -15,7 +15,7 @@
 import type {CallerEntry, CallerOutcome} from './caller-request.js';
 import {readBody, type BodyFault} from './request-body.js';
 import {readCallerRequest} from './caller-request-reader.js';
-import {refuseHere} from './entry-refusal.js';
+import {refuseAsNotRun} from './entry-refusal.js';
 import type {NodeReporter} from './node-reporter.js';
 import {isAnnouncement, readAnnouncement} from './target-announcement.js';
 import {listen} from './web-socket-transport.js';
@@ -25,26 +25,29 @@
 	entry: CallerEntry;
 	reporter: NodeReporter;
 	bodyLimit: number;
-	/** All bodies that are held at once. */
+	/** Maximum total of the bodies held at the same time. */
 	bufferLimit: number;
 	headerLimit: number;
 	connectionLimit: number;
-	/** For a whole request to arrive; a slow sender is cut off after it. */
-	requestTime: number;
-	/** Takes the announcement of the target beside the node. */
+	/** Maximum time for a whole request to arrive; a slower sender is disconnected. */
+	requestTimeout: number;
+	/** Called with each announcement of the local target. */
 	announce(announcement: TargetAnnouncement): void;
 };
 
 /** The listener. */
 export type CallerListener = {
 	listen(host: string, port: number): Promise<number>;
-	/** Takes no new connections, and closes each open one after its answer. */
+	/** Accepts no new connections, and closes each open one after its answer. */
 	drain(): void;
 	close(): Promise<void>;
 };
 
-/** Milliseconds an idle connection is kept: longer than a client's own, so that the client closes first and no request meets a closing socket. */
-const keepAliveTime = 65_000;
+/**
+ * Keep-alive timeout in milliseconds. It is longer than that of clients, so that
+ * the client closes first and no request is sent on a closing socket.
+ */
+const keepAliveTimeoutMs = 65_000;
 
 /** Creates the listener; nothing listens until `listen`. */
 export function createCallerListener(
@@ -55,10 +58,10 @@
 	const server = createServer(
 		{
 			maxHeaderSize: options.headerLimit,
-			requestTimeout: options.requestTime,
-			headersTimeout: options.requestTime,
-			connectionsCheckingInterval: Math.max(100, options.requestTime / 4),
-			keepAliveTimeout: keepAliveTime,
+			requestTimeout: options.requestTimeout,
+			headersTimeout: options.requestTimeout,
+			connectionsCheckingInterval: Math.max(100, options.requestTimeout / 4),
+			keepAliveTimeout: keepAliveTimeoutMs,
 		},
 		(request, response) => {
 			if (isDraining) {
@@ -70,7 +73,7 @@
 	);
 	server.maxConnections = options.connectionLimit;
 	server.on('clientError', (error: NodeJS.ErrnoException, socket) => {
-		options.reporter.notice({
+		options.reporter.recordEvent({
 			name: 'malformedRequest',
 			fault: error.code ?? 'unknown',
 		});
@@ -107,7 +110,7 @@
 	ErrorCode.MalformedRequest,
 );
 
-/** Faults that Node's parser finds, before there is a request to answer. */
+/** Raw answers to errors of the HTTP parser, which occur before there is a request object. */
 const clientErrorAnswers: Record<string, string> = {
 	// eslint-disable-next-line @typescript-eslint/naming-convention -- Node's error codes.
 	HPE_HEADER_OVERFLOW: rawAnswer(
@@ -141,7 +144,7 @@
 		}
 	});
 	if (isAnnouncement(request)) {
-		await takeAnnouncement(request, response, options);
+		await receiveAnnouncement(request, response, options);
 		return;
 	}
 
@@ -149,7 +152,7 @@
 	writeOutcome(response, outcome);
 }
 
-async function takeAnnouncement(
+async function receiveAnnouncement(
 	request: IncomingMessage,
 	response: ServerResponse,
 	{announce, bodyLimit, reporter}: CallerListenerOptions,
@@ -164,7 +167,7 @@
 			response.writeHead(204).end();
 		},
 		(fault) => {
-			reporter.notice({name: 'malformedRequest', fault: 'announcement'});
+			reporter.recordEvent({name: 'malformedRequest', fault: 'announcement'});
 			response.writeHead(400).end(`${fault}\n`);
 		},
 	);
@@ -178,25 +181,28 @@
 ): Promise<CallerOutcome> {
 	const body = await readBody(request, options.bodyLimit, budget);
 	if (body.isErr()) {
-		options.reporter.notice({name: 'malformedRequest', fault: body.error});
+		options.reporter.recordEvent({name: 'malformedRequest', fault: body.error});
 		const {code, retryAfter} = bodyRefusals[body.error];
-		return {request: 'none', outcome: refuseHere(code, retryAfter)};
+		return {request: 'none', outcome: refuseAsNotRun(code, retryAfter)};
 	}
 
 	const {length} = body.value;
 	const outcome = await handle(request, body.value, options, signal);
-	budget.give(length);
+	budget.release(length);
 	return outcome;
 }
 
-/** Milliseconds after which an upload that found no room comes back: most bodies have left by then. */
-const roomDelay = 1000;
+/**
+ * Retry-After in milliseconds for an upload that doesn't fit into the body
+ * budget; most bodies have been released by then.
+ */
+const bufferFullRetryAfterMs = 1000;
 
 const bodyRefusals: Record<BodyFault, {code: ErrorCode; retryAfter?: number}> =
 	{
 		tooLarge: {code: ErrorCode.TooLarge},
 		cutShort: {code: ErrorCode.MalformedRequest},
-		noRoom: {code: ErrorCode.Overloaded, retryAfter: roomDelay},
+		noRoom: {code: ErrorCode.Overloaded, retryAfter: bufferFullRetryAfterMs},
 	};
 
 async function handle(
@@ -207,18 +213,18 @@
 ): Promise<CallerOutcome> {
 	const read = readCallerRequest(request, body);
 	if (read.isErr()) {
-		options.reporter.notice({name: 'malformedRequest', fault: 'header'});
+		options.reporter.recordEvent({name: 'malformedRequest', fault: 'header'});
 		const detail = read.error.join('; ');
 		return {
 			request: 'none',
-			outcome: refuseHere(ErrorCode.MalformedRequest, undefined, detail),
+			outcome: refuseAsNotRun(ErrorCode.MalformedRequest, undefined, detail),
 		};
 	}
 
 	try {
 		return await options.entry.handle(read.value, signal);
 	} catch (error) {
-		// The request may have been handed over before the fault.
+		// The request may have been handed over before the error.
 		return {
 			request: read.value.id ?? 'none',
 			outcome: {
--- a/packages/node/src/control-follower.ts
+++ b/packages/node/src/control-subscription.ts
@@ -1,11 +1,11 @@
-/** Carries what control learns to the core and to the reporter. */
+/** Forwards changes of membership and configuration to the core and to the reporter. */
 import type {Control} from '@egretspoke/control';
 import type {Member} from '@egretspoke/protocol';
 import type {NodeCore} from './node-core.js';
 import type {NodeReporter} from './node-reporter.js';
 
-/** Keeps the router and the ingress as membership and configuration say. */
-export function followControl(
+/** Updates the router and the ingress when membership changes, and records the events of control. */
+export function subscribeToControl(
 	control: Control,
 	core: NodeCore,
 	reporter: NodeReporter,
@@ -20,7 +20,7 @@
 			return;
 		}
 
-		reporter.notice({
+		reporter.recordEvent({
 			name: 'memberChanged',
 			node: member.node,
 			state: member.state,
@@ -38,25 +38,29 @@
 		}
 	});
 	void control.membership.pauses.observe((pause) => {
-		reporter.notice({name: 'suspended', pause});
+		reporter.recordEvent({name: 'suspended', pause});
 	});
 	void control.configuration.platformChanges.observe(({state, detail = ''}) => {
-		reporter.notice(
+		reporter.recordEvent(
 			state === 'reachable'
 				? {name: 'platformReachable'}
 				: {name: 'platformUnreachable', detail},
 		);
 	});
 	void control.configuration.rejected.observe(({version, reason}) => {
-		reporter.notice({name: 'configurationRefused', version, detail: reason});
+		reporter.recordEvent({
+			name: 'configurationRefused',
+			version,
+			detail: reason,
+		});
 	});
 	void control.configuration.accepted.observe(({version}) => {
 		const source = control.configuration.source();
-		reporter.notice({name: 'configurationTaken', version, source});
+		reporter.recordEvent({name: 'configurationTaken', version, source});
 	});
 }
 
-/** A heartbeat or a version alone changes nothing for the router. */
+/** A change of the heartbeat or of the version alone does not affect the router. */
 function isRoutingChange(member: Member, before: Member): boolean {
 	return (
 		member.state !== before.state ||
--- a/packages/node/src/entry-refusal.ts
+++ b/packages/node/src/entry-refusal.ts
@@ -1,4 +1,4 @@
-/** Refusals of attempts that never left this process. */
+/** Refusals that the entry node issues itself. */
 import {
 	admitUnknown,
 	createHandOverTicket,
@@ -8,8 +8,8 @@
 	type Outcome,
 } from '@egretspoke/protocol';
 
-/** Says "not run", with the proof of a ticket that never left this process. */
-export function refuseHere(
+/** Refuses as "not run". The proof is a ticket that never left this process. */
+export function refuseAsNotRun(
 	code: ErrorCode,
 	retryAfter?: number,
 	detail?: string,
@@ -27,11 +27,11 @@
 }
 
 /**
- * Refuses an attempt at a key whose earlier attempts are not known here. "Not
- * run" would be true of this attempt alone, and its user, whose earlier attempt
- * may have run, would take it for the request.
+ * Refuses as "unknown" an attempt at a key whose earlier attempts are not
+ * recorded here. "Not run" would be true of this attempt only, but the user,
+ * whose earlier attempt may have run, would take it for the whole request.
  */
-export function refuseUnknown(code: ErrorCode, retryAfter?: number): Outcome {
+export function refuseAsUnknown(code: ErrorCode, retryAfter?: number): Outcome {
 	return admitUnknown(
 		createRefusal(code, {...(retryAfter !== undefined && {retryAfter})}),
 	);
--- a/packages/node/src/entry.ts
+++ b/packages/node/src/entry.ts
@@ -1,6 +1,6 @@
 /**
- * The entry node's side: a caller's request from its arrival to its one final
- * answer, over as many attempts as its chain, its deadline and the retry
+ * Handles requests at the entry node: from a caller's request to its single
+ * final answer, over as many attempts as its chain, its deadline and the retry
  * budget allow.
  */
 import {
@@ -24,7 +24,7 @@
 	CallerOutcome,
 	CallerRequest,
 } from './caller-request.js';
-import {refuseHere, refuseUnknown} from './entry-refusal.js';
+import {refuseAsNotRun, refuseAsUnknown} from './entry-refusal.js';
 import {createKeyRefusals} from './entry-keys.js';
 import {attemptIdempotent} from './attempt-idempotent.js';
 import type {ExchangeResult} from './exchange-table.js';
@@ -41,61 +41,61 @@
 } from './request-chain.js';
 import type {RunningRequests} from './running-requests.js';
 
-/** What the entry is built from. */
+/** Dependencies of the entry. */
 export type EntryContext = {
 	clock: Clock;
 	self: Home;
 	routing: RoutingPolicy;
 	send: AttemptSender;
 	ledger: Ledger;
-	/** Milliseconds that this home remembers a key for at the most. */
+	/** Maximum time in milliseconds for which this home remembers a key. */
 	keyLifetime: number;
 	/** `attemptAtMostOnce` when absent. */
 	attemptHandler?: AttemptHandler;
 	running: RunningRequests;
 	reporter: NodeReporter;
-	/** Requests under which targets crashed. */
+	/** Tracks requests that were running when targets crashed. */
 	quarantine: NodeQuarantine;
-	/** Undefined for a service that nobody configured or announced. */
+	/** Undefined for a service that is neither configured nor announced. */
 	classify(
 		service: string,
 		method: string,
 		path: string,
 	): Classification | undefined;
-	/** Milliseconds for which a request that is read now may have waited. */
-	possibleAge(): number;
-	/** The priority number of a request that the node's own target runs. */
+	/** Upper bound in milliseconds on how long a request that is read now has been waiting. */
+	maxMessageAge(): number;
+	/** Priority number of a request that runs at the local target. */
 	priorityOf(request: string): number | undefined;
-	/** Passes a request to the home of its key. */
-	passToHome(
+	/** Forwards a request to the home of its key. */
+	forwardToHome(
 		home: Home,
 		request: CallRequest,
 		signal: AbortSignal,
 	): Promise<ExchangeResult>;
-	/** A reason for which no new request may enter here. */
-	refusalOf(): ErrorCode | undefined;
+	/** The error code with which new requests are refused; undefined while they are accepted. */
+	getRefusalCode(): ErrorCode | undefined;
 };
 
-/** The entry, for callers and for peers that pass a request to its home. */
+/** Serves callers, and peers that forward a request to the home of its key. */
 export type Entry = CallerEntry & {
-	/** Handles a request whose key has its home here. */
+	/** Handles a forwarded request whose key has its home on this node. */
 	handleAtHome(request: CallRequest, signal: AbortSignal): Promise<Outcome>;
-	/** Requests that have not been answered yet. */
-	open(): number;
+	/** Number of requests that have not been answered yet. */
+	openRequests(): number;
 	/** Resolves when every request has been answered. */
 	whenIdle(): Promise<void>;
 };
 
 type CallHandler = (call: EntryCall, caller: LinkedAbort) => Promise<Outcome>;
 
-/** Refusals whose caller is to come back with a home and an expiry. */
-const needsExpiry: ReadonlySet<ErrorCode> = new Set([
+/** Refusals after which the caller has to repeat the request with a home and an expiry. */
+const codesWithProposedExpiry: ReadonlySet<ErrorCode> = new Set([
 	ErrorCode.HomeRequired,
 	ErrorCode.KeyExpiryRequired,
 ]);
 
-/** Milliseconds after which a home that couldn't be reached may be. */
-const homeRetryAfter = 1000;
+/** Retry-After in milliseconds when the home of a key could not be reached. */
+const homeRetryAfterMs = 1000;
 
 /** Creates the entry of one node. */
 export function createEntry(context: EntryContext): Entry {
@@ -111,45 +111,48 @@
 		const {service, method, path} = incoming;
 		const rules = context.classify(service, method, path);
 		if (!rules) {
-			return end(incoming, keys.refuse(incoming, ErrorCode.UnknownService));
+			return recordRefusal(
+				incoming,
+				keys.refuse(incoming, ErrorCode.UnknownService),
+			);
 		}
 
-		const barred = context.refusalOf();
+		const refusalCode = context.getRefusalCode();
 		if (
-			barred !== undefined &&
-			!isDeeper(incoming) &&
+			refusalCode !== undefined &&
+			!isDownstreamCall(incoming) &&
 			!keys.isRepeatHere(incoming)
 		) {
-			return end(incoming, keys.refuse(incoming, barred, 0));
+			return recordRefusal(incoming, keys.refuse(incoming, refusalCode, 0));
 		}
 
 		const call = createEntryCall(incoming, rules, running, {
 			now: clock.now(),
-			age: context.possibleAge(),
+			age: context.maxMessageAge(),
 		});
 		if (call.isErr()) {
 			const {code, retryAfter} = call.error;
-			return end(incoming, keys.refuse(incoming, code, retryAfter));
+			return recordRefusal(incoming, keys.refuse(incoming, code, retryAfter));
 		}
 
 		const startedAt = clock.now();
-		const {request, allotment} = call.value;
-		if (context.quarantine.bars(request)) {
-			return end(incoming, refuseUnknown(ErrorCode.Quarantined));
+		const {request, allocation} = call.value;
+		if (context.quarantine.blocks(request)) {
+			return recordRefusal(incoming, refuseAsUnknown(ErrorCode.Quarantined));
 		}
 
-		const priority = allotment && context.priorityOf(request.id);
+		const priority = allocation && context.priorityOf(request.id);
 		if (priority !== undefined) {
 			request.priority = priority;
 		}
 
-		const linked = createLinkedAbort(signal, allotment?.signal);
+		const linked = createLinkedAbort(signal, allocation?.signal);
 		const outcome = await chooseHandler(incoming, call.value)(
 			call.value,
 			linked,
 		);
 		linked.release();
-		reporter.ended({
+		reporter.recordRequestEnd({
 			request: request.id,
 			service,
 			requestClass: request.requestClass,
@@ -165,14 +168,19 @@
 		};
 	};
 
-	/** What a caller needs besides the home to send a key that it may repeat. */
+	/** The expiry to propose for a key. With it and the home, the caller can send a key that it may repeat. */
 	const proposeExpiry = (outcome: Outcome): Pick<CallerOutcome, 'keyExpiry'> =>
-		outcome.kind === 'notRun' && needsExpiry.has(outcome.refusal.code)
+		outcome.kind === 'notRun' &&
+		codesWithProposedExpiry.has(outcome.refusal.code)
 			? {keyExpiry: clock.date().getTime() + context.keyLifetime}
 			: {};
 
-	/** A target's own calls go on while its node is leaving: they belong to requests in flight. */
-	const isDeeper = ({id}: CallerRequest) => id !== undefined && running.has(id);
+	/**
+	 * Calls of the local target are still accepted while the node is leaving,
+	 * because they belong to requests in flight.
+	 */
+	const isDownstreamCall = ({id}: CallerRequest) =>
+		id !== undefined && running.has(id);
 
 	const chooseHandler = (
 		{home, key}: CallerRequest,
@@ -183,11 +191,11 @@
 		}
 
 		if (key === undefined) {
-			return async () => refuseHere(ErrorCode.KeyRequired);
+			return async () => refuseAsNotRun(ErrorCode.KeyRequired);
 		}
 
 		if (home === undefined) {
-			return async () => refuseHere(ErrorCode.HomeRequired);
+			return async () => refuseAsNotRun(ErrorCode.HomeRequired);
 		}
 
 		return formatHome(home) === formatHome(self)
@@ -196,12 +204,15 @@
 	};
 
 	const handleIdempotent: CallHandler = async (call, caller) =>
-		untilDeadline(call, caller, async () =>
+		runUntilDeadline(call, caller, async () =>
 			attemptIdempotent(context, call, caller.signal),
 		);
 
-	/** At the deadline the caller counts as gone, and gets its final answer at once. */
-	const untilDeadline = async (
+	/**
+	 * Aborts the work at the deadline as if the caller had gone, so that the
+	 * caller gets its final answer immediately.
+	 */
+	const runUntilDeadline = async (
 		call: EntryCall,
 		caller: LinkedAbort,
 		work: () => Promise<Outcome>,
@@ -240,31 +251,31 @@
 		call: EntryCall,
 		caller: LinkedAbort,
 	): Promise<Outcome> => {
-		reporter.decide({
+		reporter.recordDecision({
 			name: 'homePassed',
 			request: call.request.id,
 			reason: 'the key has its home elsewhere',
 			details: {home: formatHome(home)},
 		});
-		return untilDeadline(call, caller, async () => {
-			const {outcome, isUnsent} = await context.passToHome(
+		return runUntilDeadline(call, caller, async () => {
+			const {outcome, isUnsent} = await context.forwardToHome(
 				home,
 				call.request,
 				caller.signal,
 			);
 			return isUnsent
-				? refuseUnknown(ErrorCode.HomeUnreachable, homeRetryAfter)
+				? refuseAsUnknown(ErrorCode.HomeUnreachable, homeRetryAfterMs)
 				: outcome;
 		});
 	};
 
-	const end = (
+	const recordRefusal = (
 		incoming: CallerRequest,
 		outcome: Outcome,
 		service = incoming.service,
 	): CallerOutcome => {
 		const request = incoming.id ?? 'none';
-		reporter.ended({
+		reporter.recordRequestEnd({
 			request,
 			service,
 			requestClass: 'normal',
@@ -273,7 +284,7 @@
 			role: 'entry',
 		});
 		if (outcome.kind !== 'answered') {
-			reporter.decide({
+			reporter.recordDecision({
 				name: 'entryRefused',
 				request,
 				reason: outcome.refusal.detail,
@@ -285,24 +296,24 @@
 
 	return {
 		async handle(incoming, signal) {
-			return idle.during(async () => handle(incoming, signal));
+			return idle.track(async () => handle(incoming, signal));
 		},
 		async handleAtHome(request, signal) {
-			const barred = context.refusalOf();
-			if (barred !== undefined && !keys.mayHaveRunHere(request)) {
-				return refuseHere(barred, 0);
+			const refusalCode = context.getRefusalCode();
+			if (refusalCode !== undefined && !keys.mayHaveRunHere(request)) {
+				return refuseAsNotRun(refusalCode, 0);
 			}
 
-			if (context.quarantine.bars(request)) {
-				return refuseUnknown(ErrorCode.Quarantined);
+			if (context.quarantine.blocks(request)) {
+				return refuseAsUnknown(ErrorCode.Quarantined);
 			}
 
 			const deadline = clock.now() + request.timeLeft;
 			const call = {request, operation: readOperation(request), deadline};
 			const caller = createLinkedAbort(signal);
-			return idle.during(async () => handleKey(call, caller));
+			return idle.track(async () => handleKey(call, caller));
 		},
-		open: idle.count,
+		openRequests: idle.count,
 		whenIdle: idle.whenIdle,
 	};
 }
--- a/packages/node/src/ingress.ts
+++ b/packages/node/src/ingress.ts
@@ -1,6 +1,6 @@
 /**
- * The target's side of the node: every request for the target, from whatever
- * entry, passes the admission here and is handed over at most once.
+ * The target's side of a node: every request for the local target, from any
+ * entry node, passes admission here and is handed over at most once.
  */
 import {
 	admitUnknown,
@@ -32,7 +32,7 @@
 import {refuseTicket} from './ticket-refusal.js';
 import {createTurnQueue} from './turn-queue.js';
 
-/** What the ingress is built from. */
+/** Dependencies of the ingress. */
 export type IngressContext = {
 	clock: Clock;
 	admission: AdmissionPolicy;
@@ -40,31 +40,37 @@
 	announcement: TargetAnnouncement;
 	running: RunningRequests;
 	reporter: NodeReporter;
-	/** Requests under which targets crashed. */
+	/** Tracks requests that were running when targets crashed. */
 	quarantine: NodeQuarantine;
-	/** A reason for which nothing new may run now: a pause beyond the lease. */
-	refusalOf(): ErrorCode | undefined;
+	/**
+	 * The error code with which new requests are refused, as after a pause longer
+	 * than the lease; undefined while they may run.
+	 */
+	getRefusalCode(): ErrorCode | undefined;
 };
 
-/** The door to the target. */
+/** Admits requests to the local target. */
 export type Ingress = {
-	/** Resolves once, always; the signal tells that the caller gave up. */
+	/** Always resolves; the signal aborts when the caller gives up. */
 	run(request: CallRequest, signal: AbortSignal): Promise<Outcome>;
-	/** From now on nothing new is admitted; what waits is handed back as not run. */
+	/** Stops admitting new requests and refuses waiting ones as "not run". */
 	leave(): void;
-	/** Takes work again. */
+	/** Admits requests again after `leave`. */
 	rejoin(): void;
 	isLeaving(): boolean;
-	/** The load, with the level that holds for the operation. */
+	/** The load report, with the shed level that applies to the operation. */
 	report(operation?: string): LoadReport;
-	/** Requests at the target now. */
+	/** Number of requests at the target. */
 	inFlight(): number;
-	/** Resolves when nothing runs any more. */
+	/** Resolves when no request is running. */
 	whenIdle(): Promise<void>;
 };
 
-/** Milliseconds after which a caller refused by a leaving or paused node comes back: another target serves it at once. */
-const elsewhereDelay = 0;
+/**
+ * Retry-After in milliseconds of a refusal by a leaving or paused node; 0
+ * because another target can serve the request immediately.
+ */
+const leavingRetryAfterMs = 0;
 
 /** Creates the ingress of one target. */
 export function createIngress(context: IngressContext): Ingress {
@@ -72,14 +78,14 @@
 	const turns = createTurnQueue(clock, admission);
 	const idle = createIdleCounter();
 	const watch = createTargetWatch(context, () => isLeaving);
-	const isolated = createIsolatedTurns();
+	const isolatedTurns = createIsolatedTurns();
 	let attempts = 0;
 	let isLeaving = false;
 
-	const ended = (facts: CallFacts, completion: Completion) => {
+	const complete = (facts: CallFacts, completion: Completion) => {
 		idle.leave();
 		admission.finish(facts.id, completion, clock.now());
-		turns.takeTurns();
+		turns.dispatchTurns();
 	};
 
 	const dispatch = async (
@@ -90,12 +96,17 @@
 	): Promise<Outcome> => {
 		const startedAt = clock.now();
 		idle.enter();
-		// A process that was frozen here wakes with its old plans; the deadline
-		// is read again so that nothing starts for a caller that has gone.
-		const late = checkLate(facts, startedAt, context.refusalOf());
-		if (late !== undefined || signal.aborted || !ticket.handOver()) {
-			ended(facts, {duration: 0, result: 'cancelled'});
-			const code = late ?? ErrorCode.CallerGone;
+		// The process may have been frozen since the admission decision. The
+		// deadline is checked again so that nothing starts for a caller that has
+		// gone.
+		const refusalCode = findLateRefusal(
+			facts,
+			startedAt,
+			context.getRefusalCode(),
+		);
+		if (refusalCode !== undefined || signal.aborted || !ticket.handOver()) {
+			complete(facts, {duration: 0, result: 'cancelled'});
+			const code = refusalCode ?? ErrorCode.CallerGone;
 			return refuseTicket(ticket, {code, retryAfter: 0});
 		}
 
@@ -114,28 +125,28 @@
 		);
 		context.running.remove(request.id);
 		const duration = clock.now() - startedAt;
-		reporter.decide({
+		reporter.recordDecision({
 			name: 'targetEnded',
 			request: request.id,
 			reason: result.kind,
 			details: {duration},
 		});
-		ended(facts, {duration, result: readCompletion(result, signal)});
+		complete(facts, {duration, result: readCompletion(result, signal)});
 		return readOutcome(result, admission.report(clock.now()));
 	};
 
-	const findObstacle = () =>
-		isLeaving ? ErrorCode.Leaving : context.refusalOf();
+	const findRefusal = () =>
+		isLeaving ? ErrorCode.Leaving : context.getRefusalCode();
 
 	const refuseQuarantined = () =>
 		admitUnknown(createRefusal(ErrorCode.Quarantined));
 
-	/** One of those that may crash the target runs at a time. */
-	const runApart = async (
+	/** Runs a request that may crash the target; only one such request runs at a time. */
+	const runIsolated = async (
 		request: CallRequest,
 		signal: AbortSignal,
 	): Promise<Outcome> => {
-		const turn = await isolated.enter(signal);
+		const turn = await isolatedTurns.enter(signal);
 		if (!turn) {
 			return refuseTicket(createHandOverTicket(), {
 				code: ErrorCode.CallerGone,
@@ -143,8 +154,9 @@
 			});
 		}
 
-		// The one before it may have been the same request.
-		const outcome = context.quarantine.bars(request)
+		// The previous turn may have run the same request, and crashed the target
+		// again.
+		const outcome = context.quarantine.blocks(request)
 			? refuseQuarantined()
 			: await runAdmitted(request, signal);
 		turn.leave();
@@ -158,19 +170,22 @@
 			...readFacts(request, now),
 			id: `${request.id}#${attempts++}`,
 		};
-		const barred = signal.aborted ? ErrorCode.CallerGone : findObstacle();
-		if (barred !== undefined) {
-			reporter.decide({
+		const refusalCode = signal.aborted ? ErrorCode.CallerGone : findRefusal();
+		if (refusalCode !== undefined) {
+			reporter.recordDecision({
 				name: 'admissionRefused',
 				request: request.id,
-				reason: ErrorCode[barred],
+				reason: ErrorCode[refusalCode],
+			});
+			return refuseTicket(ticket, {
+				code: refusalCode,
+				retryAfter: leavingRetryAfterMs,
 			});
-			return refuseTicket(ticket, {code: barred, retryAfter: elsewhereDelay});
 		}
 
 		const decision = admission.arrive(facts, now);
-		reporter.decide({
-			name: admissionNames[decision.kind],
+		reporter.recordDecision({
+			name: admissionEvents[decision.kind],
 			request: request.id,
 			reason: decision.reason,
 		});
@@ -180,7 +195,7 @@
 
 		if (decision.kind === 'wait') {
 			const turn = await turns.wait(facts, signal);
-			reporter.decide({
+			reporter.recordDecision({
 				name: turn.kind === 'dispatch' ? 'dispatched' : 'admissionRefused',
 				request: request.id,
 				reason: turn.reason,
@@ -201,9 +216,9 @@
 				return runAdmitted(request, signal);
 			}
 
-			return context.quarantine.bars(request)
+			return context.quarantine.blocks(request)
 				? refuseQuarantined()
-				: runApart(request, signal);
+				: runIsolated(request, signal);
 		},
 		leave() {
 			isLeaving = true;
@@ -219,16 +234,16 @@
 	};
 }
 
-const admissionNames = {
+const admissionEvents = {
 	dispatch: 'admitted',
 	wait: 'queued',
 	refuse: 'admissionRefused',
 } as const;
 
-function checkLate(
+function findLateRefusal(
 	facts: CallFacts,
 	now: number,
-	barred: ErrorCode | undefined,
+	refusalCode: ErrorCode | undefined,
 ): ErrorCode | undefined {
-	return facts.deadline <= now ? ErrorCode.DeadlinePassed : barred;
+	return facts.deadline <= now ? ErrorCode.DeadlinePassed : refusalCode;
 }
--- a/packages/node/src/isolated-turns.ts
+++ b/packages/node/src/isolated-turns.ts
@@ -1,22 +1,22 @@
-/** The turns of calls that may crash their target: one of them runs at a time. */
+/** Serializes the calls that may crash their target: only one of them runs at a time. */
 import {createIsolation} from '@egretspoke/quarantine';
 
-/** A turn that was given. */
+/** A granted turn. */
 export type IsolatedTurn = {leave(): void};
 
 /** The turns at one target. */
 export type IsolatedTurns = {
-	/** Resolves with the turn; with nothing once the signal aborts. */
+	/** Resolves with the turn, or with undefined once the signal aborts. */
 	enter(signal: AbortSignal): Promise<IsolatedTurn | undefined>;
 };
 
-type Waiting = {wake: () => void};
+type Waiter = {wake: () => void};
 
-/** Creates the turns; the first is free. */
+/** Creates the turns of an idle target. */
 export function createIsolatedTurns(): IsolatedTurns {
-	const isolation = createIsolation<Waiting>();
+	const isolation = createIsolation<Waiter>();
 
-	const leave = (item: Waiting) => {
+	const leave = (item: Waiter) => {
 		const next = isolation.leave(item);
 		if (next) {
 			isolation.enter(next);
@@ -32,22 +32,22 @@
 						leave(item);
 					},
 				};
-				const giveUp = () => {
+				const onAbort = () => {
 					if (isolation.withdraw(item)) {
 						resolve(undefined);
 					}
 				};
 
-				const item: Waiting = {
+				const item: Waiter = {
 					wake() {
-						signal.removeEventListener('abort', giveUp);
+						signal.removeEventListener('abort', onAbort);
 						resolve(turn);
 					},
 				};
 				if (isolation.enter(item)) {
 					resolve(turn);
 				} else {
-					signal.addEventListener('abort', giveUp);
+					signal.addEventListener('abort', onAbort);
 				}
 			}),
 	};
--- a/packages/node/src/key-report.ts
+++ b/packages/node/src/key-report.ts
@@ -1,8 +1,8 @@
-/** Tells the reporter when a key's home answered from its ledger, or refused the key. */
+/** Reports when a key's home answered from its ledger or refused the key. */
 import {ErrorCode, type Outcome} from '@egretspoke/protocol';
 import type {NodeReporter} from './node-reporter.js';
 
-/** The refusals that come from the ledger and not from admission or routing. */
+/** Refusals issued by the ledger, not by admission or routing. */
 const ledgerCodes: ReadonlySet<ErrorCode> = new Set([
 	ErrorCode.KeyExpired,
 	ErrorCode.KeyExpiryRequired,
@@ -13,7 +13,7 @@
 	ErrorCode.StillRunning,
 ]);
 
-/** Reports the ledger's part in an outcome, if it had one. */
+/** Reports an outcome if the ledger determined it. */
 export function reportKey(
 	reporter: NodeReporter,
 	request: string,
@@ -22,7 +22,7 @@
 	if (outcome.kind === 'answered') {
 		if (outcome.repeated) {
 			const reason = 'the key ran before';
-			reporter.decide({name: 'keyRepeated', request, reason});
+			reporter.recordDecision({name: 'keyRepeated', request, reason});
 		}
 
 		return;
@@ -30,6 +30,6 @@
 
 	const {code, detail} = outcome.refusal;
 	if (ledgerCodes.has(code)) {
-		reporter.decide({name: 'keyRefused', request, reason: detail});
+		reporter.recordDecision({name: 'keyRefused', request, reason: detail});
 	}
 }
--- a/packages/node/src/member-directory.ts
+++ b/packages/node/src/member-directory.ts
@@ -1,21 +1,21 @@
 /**
- * The members as the request path looks them up. It is rebuilt when members
- * change, some hundred times a day, so that a call costs one look-up however
- * many members there are.
+ * Indexes the members for the request path. It is rebuilt when members change,
+ * some hundred times a day, so that a call costs one look-up regardless of the
+ * number of members.
  */
 import type {Member} from '@egretspoke/protocol';
 import type {RoutingCandidate} from '@egretspoke/decisions';
 
-/** Members by what they are looked up by. */
+/** Members by node, peer address and service. */
 export type MemberDirectory = {
 	byNode(node: string): Member | undefined;
 	/** The node that announced this peer address. */
-	nodeAt(peerAddress: string): string | undefined;
-	/** True when some member's target serves it. */
+	nodeByAddress(peerAddress: string): string | undefined;
+	/** True when the target of a member provides the service. */
 	isServed(service: string): boolean;
 	/**
-	 * Takes the members as they are now, and gives the candidates of each
-	 * service, an empty list for one that has lost its last.
+	 * Rebuilds the index and returns the candidates of each service, with an empty
+	 * list for a service that has lost its last one.
 	 */
 	update(members: readonly Member[], now: number): CandidatesByService;
 };
@@ -37,7 +37,7 @@
 
 	return {
 		byNode: (node) => members.get(node),
-		nodeAt: (peerAddress) => nodes.get(peerAddress),
+		nodeByAddress: (peerAddress) => nodes.get(peerAddress),
 		isServed: (service) => candidates.has(service),
 		update(current, now) {
 			members = new Map(current.map((member) => [member.node, member]));
@@ -57,11 +57,13 @@
 				}
 			}
 
-			const vanished = [...candidates.keys()].filter((each) => !next.has(each));
+			const removedServices = [...candidates.keys()].filter(
+				(each) => !next.has(each),
+			);
 			firstSeen = seen;
 			candidates = next;
 			const changed = new Map(next);
-			for (const service of vanished) {
+			for (const service of removedServices) {
 				changed.set(service, []);
 			}
 
--- a/packages/node/src/message-queue.ts
+++ b/packages/node/src/message-queue.ts
@@ -1,9 +1,9 @@
-/** Messages between the callback that receives them and the task that reads them. */
+/** A queue between the callback that receives messages and the task that reads them. */
 
-/** A queue that is read as an async iterable, by one reader. */
+/** A queue that a single reader reads as an async iterable. */
 export type MessageQueue<T> = {
 	push(value: T): void;
-	/** The reader sees what was pushed before, then the end. */
+	/** Ends the queue; the reader still receives what was pushed before. */
 	end(): void;
 	read(): AsyncIterable<T>;
 	length(): number;
@@ -15,12 +15,12 @@
 	let isEnded = false;
 	let wake: (() => void) | undefined;
 
-	const signal = () => {
+	const wakeReader = () => {
 		wake?.();
 		wake = undefined;
 	};
 
-	const nextSignal = async () =>
+	const waitForWake = async () =>
 		new Promise<void>((resolve) => {
 			wake = resolve;
 		});
@@ -29,12 +29,12 @@
 		push(value) {
 			if (!isEnded) {
 				values.push(value);
-				signal();
+				wakeReader();
 			}
 		},
 		end() {
 			isEnded = true;
-			signal();
+			wakeReader();
 		},
 		async *read() {
 			for (;;) {
@@ -50,7 +50,7 @@
 				}
 
 				// eslint-disable-next-line no-await-in-loop -- waits for the next value.
-				await nextSignal();
+				await waitForWake();
 			}
 		},
 		length: () => values.length,
--- a/packages/node/src/node-core.ts
+++ b/packages/node/src/node-core.ts
@@ -1,7 +1,7 @@
 /**
- * The core of a node: entry, ingress and peers put together over interfaces,
- * without a listener, a process or a clock of its own. The process puts the
- * real ones in, the fault schedules put in fakes.
+ * The core of a node: entry, ingress and peers, connected through interfaces and
+ * without a listener, process or clock. The process provides real
+ * implementations, the fault schedules provide fakes.
  */
 import {
 	createLedger,
@@ -33,7 +33,7 @@
 import type {Suspect} from '@egretspoke/quarantine';
 import {createAttemptSender} from './attempt-sender.js';
 import {createEntry, type Entry} from './entry.js';
-import {refuseHere, refuseUnknown} from './entry-refusal.js';
+import {refuseAsNotRun, refuseAsUnknown} from './entry-refusal.js';
 import {createMemberDirectory} from './member-directory.js';
 import type {ExchangeResult} from './exchange-table.js';
 import {createIdleCounter} from './idle-counter.js';
@@ -52,27 +52,27 @@
 import type {Supervisor} from './supervisor.js';
 import type {TargetClient} from './target-client.js';
 
-/** What the core takes from configuration and membership. */
+/** What the core requires from configuration and membership. */
 export type CoreControl = {
-	/** Undefined for a service that nobody configured or announced. */
+	/** Undefined for a service that is neither configured nor announced. */
 	classify(
 		service: string,
 		method: string,
 		path: string,
 	): Classification | undefined;
-	/** All members known, this node included. */
+	/** All known members, including this node. */
 	members(): readonly Member[];
-	/** True after a pause beyond the lease, until the node has announced itself again. */
+	/** True after a pause longer than the lease, until the node has announced itself again. */
 	isSuspended(): boolean;
 	receiveProbe(message: ProbeMessage): AcknowledgementMessage;
 	configurationBody(): ConfigurationBodyMessage | undefined;
 };
 
-/** What a core is built from. */
+/** Dependencies of the core. */
 export type NodeCoreContext = {
 	clock: Clock;
 	random: Random;
-	/** The node and this process's start; the home of the keys it takes. */
+	/** The node and the start of this process; the home of the keys it accepts. */
 	self: Home;
 	dataCentre: string;
 	policy: Policy;
@@ -81,13 +81,13 @@
 	reporter: NodeReporter;
 	control: CoreControl;
 	ledger: Omit<LedgerOptions, 'clock'>;
-	/** Keeps requests that crash targets beyond the life of this process. */
-	keepSuspects: (suspects: Suspect[]) => void;
-	/** How the home handles a key; only tests take another than `attemptAtMostOnce`. */
+	/** Persists requests that crash targets beyond the life of this process. */
+	persistSuspects: (suspects: Suspect[]) => void;
+	/** How the home handles a key; only tests use another handler than `attemptAtMostOnce`. */
 	attemptHandler?: AttemptHandler;
 };
 
-/** The target beside the node, once it has announced itself. */
+/** The local target, once it has announced itself. */
 export type CoreTarget = {
 	announcement: TargetAnnouncement;
 	client: TargetClient;
@@ -99,21 +99,21 @@
 	peers: Peers;
 	ledger: Ledger;
 	quarantine: NodeQuarantine;
-	/** Requests in progress here, of callers and of other nodes, each counted once. */
-	open(): number;
+	/** Number of requests in progress, of callers and of other nodes, each counted once. */
+	openRequests(): number;
 	/** Undefined until the target has announced itself. */
 	ingress(): Ingress | undefined;
-	/** Takes the target's announcement; a second one replaces the first. */
+	/** Applies the announcement of the target; a second one replaces the first. */
 	announce(target: CoreTarget): void;
-	/** To be called when members have changed in more than their heartbeat. */
+	/** To be called when members have changed in more than their heartbeats. */
 	membersChanged(): void;
-	/** True when some member's target serves it. */
+	/** True when the target of a member provides the service. */
 	isServed(service: string): boolean;
-	/** No new work for the target from now on; the entry still serves. */
+	/** Stops new work for the target; the entry still serves callers. */
 	leave(): void;
-	/** The target takes work again after a `leave`. */
+	/** Resumes work for the target after a `leave`. */
 	rejoin(): void;
-	/** Refuses everything new, and resolves when nothing is in flight. */
+	/** Refuses all new requests, and resolves when none is in flight. */
 	drain(): Promise<void>;
 };
 
@@ -132,7 +132,7 @@
 	});
 	let isDraining = false;
 
-	const refusalOf = (): ErrorCode | undefined => {
+	const getRefusalCode = (): ErrorCode | undefined => {
 		if (isDraining) {
 			return ErrorCode.Leaving;
 		}
@@ -146,22 +146,22 @@
 		reporter,
 		self: self.node,
 		members: () => control.members(),
-		tell(address, message) {
-			void peers.tell(address, message);
+		sendSuspects(address, message) {
+			void peers.sendSuspects(address, message);
 		},
-		keep: context.keepSuspects,
+		persistSuspects: context.persistSuspects,
 		signal: supervisor.signal,
 	});
 
 	let ingress: TargetIngress | undefined;
-	const fromPeers = createIdleCounter();
+	const peerRequests = createIdleCounter();
 
-	const runHere = async (
+	const runLocally = async (
 		request: CallRequest,
 		signal: AbortSignal,
 	): Promise<ExchangeResult> => {
 		if (ingress?.service !== request.service) {
-			return {outcome: refuseHere(ErrorCode.NoTarget, 0)};
+			return {outcome: refuseAsNotRun(ErrorCode.NoTarget, 0)};
 		}
 
 		const outcome = await ingress.run(request, signal);
@@ -173,12 +173,12 @@
 		(message: CallMessage, signal: AbortSignal) => Promise<ExchangeResult>
 	> = {
 		run: async ({request}, signal) =>
-			fromPeers.during(async () => runHere(request, signal)),
+			peerRequests.track(async () => runLocally(request, signal)),
 		async pass({request, home}, signal) {
 			const outcome =
 				home === formatHome(self)
 					? await entry.handleAtHome(request, signal)
-					: refuseUnknown(ErrorCode.HomeGone);
+					: refuseAsUnknown(ErrorCode.HomeGone);
 			return {outcome};
 		},
 	};
@@ -187,20 +187,20 @@
 		clock,
 		transport: context.transport,
 		self: self.node,
-		nodeAt: (address) => directory.nodeAt(address),
+		nodeByAddress: (address) => directory.nodeByAddress(address),
 		supervisor: supervisor.branch('peers'),
 		services: {
 			reporter,
 			async call(message, signal) {
 				const {request} = message;
-				const timeLeft = request.timeLeft - pauses.possibleAge();
+				const timeLeft = request.timeLeft - pauses.maxMessageAge();
 				const aged = {...message, request: {...request, timeLeft}};
 				return handleCall[message.role](aged, signal);
 			},
 			probe: (message) => control.receiveProbe(message),
 			configurationBody: () => control.configurationBody(),
-			takeSuspects: quarantine.take,
-			greeting: quarantine.greeting,
+			receiveSuspects: quarantine.receiveSuspects,
+			initialMessage: quarantine.initialMessage,
 		},
 	});
 
@@ -211,7 +211,7 @@
 		async path(node, request, signal) {
 			const member = directory.byNode(node);
 			if (node === self.node || !member) {
-				return runHere(request, signal);
+				return runLocally(request, signal);
 			}
 
 			return peers.call(member, request, {role: 'run'}, signal);
@@ -228,16 +228,16 @@
 		running,
 		reporter,
 		quarantine,
-		refusalOf,
+		getRefusalCode,
 		keyLifetime: context.ledger.maximumLifetime,
-		possibleAge: pauses.possibleAge,
+		maxMessageAge: pauses.maxMessageAge,
 		priorityOf: (request) => chainPriority(below, request),
 		classify: (service, method, path) =>
 			control.classify(service, method, path),
-		async passToHome(home, request, signal) {
+		async forwardToHome(home, request, signal) {
 			const member = directory.byNode(home.node);
 			if (!member || home.node === self.node) {
-				return {outcome: refuseUnknown(ErrorCode.HomeGone)};
+				return {outcome: refuseAsUnknown(ErrorCode.HomeGone)};
 			}
 
 			const options = {role: 'pass' as const, home: formatHome(home)};
@@ -249,19 +249,19 @@
 		entry,
 		ingress: () => ingress,
 		announce(target) {
-			// Requests at the target go on under the old limits to their ends.
+			// Requests already at the target finish under the old limits.
 			ingress?.leave();
 			ingress = createTargetIngress(context, target, {
 				running,
 				below,
 				quarantine,
-				refusalOf,
+				getRefusalCode,
 			});
 		},
 		peers,
 		ledger,
 		quarantine,
-		open: () => entry.open() + fromPeers.count(),
+		openRequests: () => entry.openRequests() + peerRequests.count(),
 		isServed: (service) => directory.isServed(service),
 		membersChanged() {
 			const now = clock.now();
@@ -271,7 +271,7 @@
 		},
 		leave() {
 			if (!ingress?.isLeaving()) {
-				reporter.notice({name: 'leaving', reason: 'asked to leave'});
+				reporter.recordEvent({name: 'leaving', reason: 'asked to leave'});
 			}
 
 			ingress?.leave();
@@ -282,7 +282,7 @@
 		async drain() {
 			isDraining = true;
 			ingress?.leave();
-			await fromPeers.whenIdle();
+			await peerRequests.whenIdle();
 			await entry.whenIdle();
 		},
 	};
@@ -294,13 +294,13 @@
 	running: RunningRequests;
 	below: DownstreamLevels;
 	quarantine: NodeQuarantine;
-	refusalOf: () => ErrorCode | undefined;
+	getRefusalCode: () => ErrorCode | undefined;
 };
 
 function createTargetIngress(
 	{clock, dataCentre, policy, random, reporter}: NodeCoreContext,
 	{announcement, client}: CoreTarget,
-	{running, below, quarantine, refusalOf}: IngressParts,
+	{running, below, quarantine, getRefusalCode}: IngressParts,
 ): TargetIngress {
 	const admission: AdmissionPolicy = policy.createAdmission({
 		downstreamLevels: below,
@@ -319,7 +319,7 @@
 			running,
 			reporter,
 			quarantine,
-			refusalOf,
+			getRefusalCode,
 		}),
 	};
 }
--- a/packages/node/src/node-quarantine.ts
+++ b/packages/node/src/node-quarantine.ts
@@ -1,4 +1,7 @@
-/** The quarantine of a node: by calls, over connections to peers and the platform's table. */
+/**
+ * The quarantine of a node. Crash records are shared over the connections to
+ * peers and the platform's table.
+ */
 import type {Member, SuspectsMessage} from '@egretspoke/protocol';
 import {
 	createQuarantine,
@@ -14,8 +17,8 @@
 import {createTicks, sample, type Clock, type Random} from '@egretspoke/shared';
 import type {NodeReporter} from './node-reporter.js';
 
-/** The parts of a call by which it is known. */
-export type KnownCall = {
+/** The parts of a call that identify it. */
+export type CallIdentity = {
 	service: string;
 	method: string;
 	path: string;
@@ -23,38 +26,38 @@
 	body: Uint8Array;
 };
 
-/** What the quarantine needs. */
+/** Dependencies of the quarantine. */
 export type NodeQuarantineOptions = {
 	clock: Clock;
 	random: Random;
 	reporter: NodeReporter;
-	/** All members known, this node included. */
+	/** All known members, including this node. */
 	members: () => readonly Member[];
 	/** This node's name. */
 	self: string;
-	tell: (address: string, message: SuspectsMessage) => void;
-	/** Keeps suspects beyond the life of this process. */
-	keep: (suspects: Suspect[]) => void;
+	sendSuspects: (address: string, message: SuspectsMessage) => void;
+	/** Persists suspects beyond the life of this process. */
+	persistSuspects: (suspects: Suspect[]) => void;
 	signal: AbortSignal;
 };
 
 /** The quarantine. */
 export type NodeQuarantine = {
-	/** What is known of the call; undefined when no target crashed under it. */
-	lookUp(call: KnownCall): Suspect | undefined;
-	/** Whether no target is to run the call any more; tells so if it is. */
-	bars(call: KnownCall & {id: string}): boolean;
-	noteCrash(runs: CrashedRun[]): Suspect[];
-	noteAnswer(call: KnownCall): void;
-	take(message: SuspectsMessage): void;
-	takeStored(suspects: Suspect[]): void;
-	greeting(): SuspectsMessage | undefined;
+	/** The suspect record of the call; undefined when no target crashed while running it. */
+	lookUp(call: CallIdentity): Suspect | undefined;
+	/** Whether the call is quarantined, so that no target may run it; if so, the decision is recorded. */
+	blocks(call: CallIdentity & {id: string}): boolean;
+	recordCrash(runs: CrashedRun[]): Suspect[];
+	recordAnswer(call: CallIdentity): void;
+	receiveSuspects(message: SuspectsMessage): void;
+	applyStoredSuspects(suspects: Suspect[]): void;
+	initialMessage(): SuspectsMessage | undefined;
 };
 
-/** Members to which news of another node are passed on. */
-const receivers = 6;
+/** Number of members to which an update from another node is forwarded. */
+const gossipFanout = 6;
 
-/** Creates the quarantine of a node that has heard of nothing. */
+/** Creates an empty quarantine. */
 export function createNodeQuarantine(
 	options: NodeQuarantineOptions,
 ): NodeQuarantine {
@@ -65,42 +68,44 @@
 			.members()
 			.filter(({node, state}) => node !== options.self && state !== 'gone');
 
-	const tellSome = (members: readonly Member[], suspects: Suspect[]) => {
+	const sendToAll = (members: readonly Member[], suspects: Suspect[]) => {
 		const message = toMessage(suspects);
 		for (const {peerAddress} of members) {
-			options.tell(peerAddress, message);
+			options.sendSuspects(peerAddress, message);
 		}
 	};
 
 	const quarantine = createQuarantine({
 		clock,
 		spread(suspects) {
-			tellSome(others(), suspects);
+			sendToAll(others(), suspects);
 		},
 		passOn(suspects) {
-			tellSome(sample(others(), receivers, random), suspects);
+			sendToAll(sample(others(), gossipFanout, random), suspects);
 		},
-		keep: options.keep,
+		keep: options.persistSuspects,
 		onQuarantined({identity, crashes}) {
-			reporter.notice({name: 'requestQuarantined', identity, crashes});
+			reporter.recordEvent({name: 'requestQuarantined', identity, crashes});
 		},
 	});
 	void createTicks(clock, expiryPeriod, signal).observe(quarantine.expire);
 	void createTicks(clock, renewalPeriod, signal).observe(quarantine.renew);
 
-	const lookUp = (call: KnownCall) =>
-		quarantine.lookUp(call.path, call.body.byteLength, () => partsOf(call));
+	const lookUp = (call: CallIdentity) =>
+		quarantine.lookUp(call.path, call.body.byteLength, () =>
+			toRequestParts(call),
+		);
 
 	return {
 		lookUp,
-		bars(call) {
+		blocks(call) {
 			const suspect = lookUp(call);
 			if (!suspect || !isQuarantined(suspect)) {
 				return false;
 			}
 
 			const {identity, crashes} = suspect;
-			reporter.decide({
+			reporter.recordDecision({
 				name: 'quarantined',
 				request: call.id,
 				reason: 'quarantined',
@@ -108,31 +113,31 @@
 			});
 			return true;
 		},
-		noteCrash: quarantine.noteCrash,
-		noteAnswer(call) {
+		recordCrash: quarantine.noteCrash,
+		recordAnswer(call) {
 			quarantine.noteAnswer(call.path, call.body.byteLength, () =>
-				partsOf(call),
+				toRequestParts(call),
 			);
 		},
-		take({suspects}) {
+		receiveSuspects({suspects}) {
 			quarantine.take(suspects.map((tuple) => toSuspect(tuple)));
 		},
-		takeStored: quarantine.take,
-		greeting() {
+		applyStoredSuspects: quarantine.take,
+		initialMessage() {
 			const suspects = quarantine.list();
 			return suspects.length === 0 ? undefined : toMessage(suspects);
 		},
 	};
 }
 
-/** The parts of a call that a repeat of it shares, whatever its id and its key. */
-export function partsOf({
+/** The parts of a call that its repeats share, independent of their id and key. */
+export function toRequestParts({
 	service,
 	method,
 	path,
 	caller,
 	body,
-}: KnownCall): RequestParts {
+}: CallIdentity): RequestParts {
 	return {host: service, method, path, caller, body};
 }
 
--- a/packages/node/src/node-readings.ts
+++ b/packages/node/src/node-readings.ts
@@ -1,14 +1,14 @@
-/** What the gauges of a node show at the moment when they are collected. */
+/** Reads the values of the gauges of a node when they are collected. */
 import type {Control} from '@egretspoke/control';
 import type {NodeReadings} from '@egretspoke/observability';
 import type {NodeCore} from './node-core.js';
 
-/** The parts that are read; they come into being one after another. */
-export type ReadParts = {control?: Control; core?: NodeCore};
+/** The sources of the gauges; they are created one after another at the start. */
+export type GaugeSources = {control?: Control; core?: NodeCore};
 
-/** Reads the parts; one that isn't there yet counts as empty. */
+/** Reads the sources; one that does not exist yet counts as empty. */
 export function readGauges(
-	{control, core}: ReadParts,
+	{control, core}: GaugeSources,
 	logLinesDropped: number,
 ): NodeReadings {
 	return {
@@ -36,7 +36,7 @@
 	const ledger = core?.ledger.size();
 	return {
 		isLeaving: core?.ingress()?.isLeaving() ?? false,
-		openRequests: core?.entry.open() ?? 0,
+		openRequests: core?.entry.openRequests() ?? 0,
 		peersConnected: core?.peers.count() ?? 0,
 		ledgerKeys: ledger?.keys ?? 0,
 		ledgerBytes: ledger?.answerBytes ?? 0,
--- a/packages/node/src/observing-reporter.ts
+++ b/packages/node/src/observing-reporter.ts
@@ -1,4 +1,4 @@
-/** The reporter of a running node: log, metrics and decision memory behind one door. */
+/** The reporter of a running node: writes to the log, the metrics and the decision memory. */
 import type {
 	DecisionMemory,
 	EventLog,
@@ -10,11 +10,11 @@
 import type {
 	Decision,
 	DecisionName,
-	NodeNotice,
+	NodeEvent,
 	NodeReporter,
 } from './node-reporter.js';
 
-/** Where the reports go. */
+/** Destinations of the reports. */
 export type ObservingReporterOptions = {
 	log: EventLog;
 	metrics: Metrics;
@@ -22,14 +22,14 @@
 	clock: Clock;
 };
 
-type CountNotice<Name extends NodeNotice['name']> = (
+type CountEvent<Name extends NodeEvent['name']> = (
 	metrics: Metrics,
-	notice: Extract<NodeNotice, {name: Name}>,
+	event: Extract<NodeEvent, {name: Name}>,
 ) => void;
 
-/** The notices that are counted besides being logged. */
-const noticeCounters: {
-	[Name in NodeNotice['name']]?: CountNotice<Name>;
+/** Events that are counted in addition to being logged. */
+const eventCounters: {
+	[Name in NodeEvent['name']]?: CountEvent<Name>;
 } = {
 	lateAnswer(metrics) {
 		metrics.lateAnswer();
@@ -53,7 +53,7 @@
 	},
 };
 
-/** The decisions that are counted besides being logged. */
+/** Decisions that are counted in addition to being logged. */
 const decisionCounters: Partial<
 	Record<DecisionName, (metrics: Metrics, service: string) => void>
 > = {
@@ -73,24 +73,24 @@
 	options: ObservingReporterOptions,
 ): NodeReporter {
 	const {log, metrics, memory, clock} = options;
-	const decide = (decision: Decision) => {
+	const recordDecision = (decision: Decision) => {
 		memory.remember({...decision, at: clock.date().getTime()});
 		log.record(decision.name, decision);
 		decisionCounters[decision.name]?.(metrics, decision.service ?? '');
 	};
 
 	return {
-		decide,
-		notice(notice) {
-			const {name, reason, ...details} = {reason: undefined, ...notice};
+		recordDecision,
+		recordEvent(event) {
+			const {name, reason, ...details} = {reason: undefined, ...event};
 			log.record(name, {details, ...(reason !== undefined && {reason})});
-			const count = noticeCounters[name] as
-				CountNotice<NodeNotice['name']> | undefined;
-			count?.(metrics, notice);
+			const count = eventCounters[name] as
+				CountEvent<NodeEvent['name']> | undefined;
+			count?.(metrics, event);
 		},
-		ended({outcome, request, ...end}) {
+		recordRequestEnd({outcome, request, ...end}) {
 			if (end.role === 'entry') {
-				decide({
+				recordDecision({
 					name: 'requestEnded',
 					request,
 					reason:
--- a/packages/node/src/peer-connection.ts
+++ b/packages/node/src/peer-connection.ts
@@ -20,16 +20,16 @@
 import type {MessageChannel, PeerIdentity} from './message-channel.js';
 import type {NodeReporter} from './node-reporter.js';
 
-/** What a node does for its peers. */
+/** The services that a node provides to its peers. */
 export type PeerServices = {
 	reporter: NodeReporter;
 	call(message: CallMessage, signal: AbortSignal): Promise<ExchangeResult>;
 	probe(message: ProbeMessage): AcknowledgementMessage;
 	configurationBody(): ConfigurationBodyMessage | undefined;
-	/** Takes what a peer knows of requests that crash targets. */
-	takeSuspects(message: SuspectsMessage): void;
-	/** The same for a peer that has just been reached; undefined when there is nothing. */
-	greeting(): SuspectsMessage | undefined;
+	/** Receives suspects: requests that crash targets. */
+	receiveSuspects(message: SuspectsMessage): void;
+	/** The suspects to send when a connection opens; undefined when there are none. */
+	initialMessage(): SuspectsMessage | undefined;
 };
 
 /** A peer over an open channel. */
@@ -40,26 +40,26 @@
 		options: {role: CallMessage['role']; home?: string},
 		signal: AbortSignal,
 	): Promise<ExchangeResult>;
-	/** Undefined when no acknowledgement came before the signal or the close. */
+	/** Undefined when no acknowledgement arrived before the signal aborted or the channel closed. */
 	probe(
 		probe: Omit<ProbeMessage, 'type' | 'sequence'>,
 		signal: AbortSignal,
 	): Promise<AcknowledgementMessage | undefined>;
-	/** Undefined when no body came before the signal or the close. */
+	/** Undefined when no body arrived before the signal aborted or the channel closed. */
 	requestConfiguration(
 		signal: AbortSignal,
 	): Promise<ConfigurationBodyMessage | undefined>;
-	tell(message: SuspectsMessage): void;
+	sendSuspects(message: SuspectsMessage): void;
 	/** Serves the peer until the channel closes. */
 	serve(): Promise<void>;
 	close(reason: string): void;
-	/** Exchanges and probes that are open in either direction. */
+	/** Number of exchanges and probes that are open in either direction. */
 	openExchanges(): number;
-	/** Messages received so far; a connection that gains none is idle. */
+	/** Number of messages received; a connection on which it does not change is idle. */
 	received(): number;
 };
 
-/** Calls that one peer may have open here; more are refused as overload. */
+/** Maximum number of open calls of one peer; more are refused as overload. */
 const openCallLimit = 4096;
 
 type Handlers = {
@@ -101,7 +101,7 @@
 	};
 
 	const rejectMessage = (message: Message) => {
-		services.reporter.notice({
+		services.reporter.recordEvent({
 			name: 'malformedMessage',
 			detail: `${message.type} after the handshake`,
 		});
@@ -116,7 +116,7 @@
 		},
 		answer(message: AnswerMessage) {
 			if (!exchanges.settle(message)) {
-				services.reporter.notice({
+				services.reporter.recordEvent({
 					name: 'lateAnswer',
 					peer: channel.peer.node,
 				});
@@ -143,7 +143,7 @@
 			}
 		},
 		suspects(message) {
-			services.takeSuspects(message);
+			services.receiveSuspects(message);
 		},
 	};
 
@@ -153,7 +153,7 @@
 			settle(undefined);
 		}
 
-		// The callers of these requests are at the other end, which is gone.
+		// The callers of these requests are at the other end of the closed channel.
 		for (const stop of served.values()) {
 			stop.abort();
 		}
@@ -172,16 +172,16 @@
 			return new Promise((resolve) => {
 				const settle = (message: AcknowledgementMessage | undefined) => {
 					probes.delete(number);
-					signal.removeEventListener('abort', giveUp);
+					signal.removeEventListener('abort', onAbort);
 					resolve(message);
 				};
 
-				const giveUp = () => {
+				const onAbort = () => {
 					settle(undefined);
 				};
 
 				probes.set(number, settle);
-				signal.addEventListener('abort', giveUp);
+				signal.addEventListener('abort', onAbort);
 				if (!channel.send({type: 'probe', sequence: number, ...probe})) {
 					settle(undefined);
 				}
@@ -191,28 +191,28 @@
 			return new Promise((resolve) => {
 				const settle = (message: ConfigurationBodyMessage | undefined) => {
 					bodyWaiters.delete(settle);
-					signal.removeEventListener('abort', giveUp);
+					signal.removeEventListener('abort', onAbort);
 					resolve(message);
 				};
 
-				const giveUp = () => {
+				const onAbort = () => {
 					settle(undefined);
 				};
 
 				bodyWaiters.add(settle);
-				signal.addEventListener('abort', giveUp);
+				signal.addEventListener('abort', onAbort);
 				if (!channel.send({type: 'configurationRequest'})) {
 					settle(undefined);
 				}
 			});
 		},
-		tell(message) {
+		sendSuspects(message) {
 			channel.send(message);
 		},
 		async serve() {
-			const greeting = services.greeting();
-			if (greeting) {
-				channel.send(greeting);
+			const initialMessage = services.initialMessage();
+			if (initialMessage) {
+				channel.send(initialMessage);
 			}
 
 			try {
--- a/packages/node/src/request-body.ts
+++ b/packages/node/src/request-body.ts
@@ -1,29 +1,29 @@
-/** Reads a request's body whole, within a limit. */
+/** Reads the whole body of a request within a limit. */
 import {Buffer} from 'node:buffer';
 import type {IncomingMessage} from 'node:http';
 import {err, ok, type Result} from 'neverthrow';
 import type {BodyBudget} from './body-budget.js';
 
-/** Why there is no whole body. */
+/** Why a body could not be read completely. */
 export type BodyFault = 'tooLarge' | 'cutShort' | 'noRoom';
 
 const empty = new Uint8Array(0);
 
 /**
- * Resolves always. A body over the limit isn't read to its end. The bytes of a
- * whole body stay taken from the budget until the caller gives them back.
+ * Always resolves. A body over the limit isn't read to its end. The bytes of a
+ * whole body stay reserved in the budget until the caller releases them.
  */
 export async function readBody(
 	request: IncomingMessage,
 	limit: number,
 	budget?: BodyBudget,
 ): Promise<Result<Uint8Array, BodyFault>> {
-	const announced = request.headers['content-length'];
-	if (announced === undefined && !request.headers['transfer-encoding']) {
+	const contentLength = request.headers['content-length'];
+	if (contentLength === undefined && !request.headers['transfer-encoding']) {
 		return ok(empty);
 	}
 
-	if (Number(announced ?? 0) > limit) {
+	if (Number(contentLength ?? 0) > limit) {
 		return err('tooLarge');
 	}
 
@@ -31,17 +31,17 @@
 		const chunks: Uint8Array[] = [];
 		let length = 0;
 		const fail = (fault: BodyFault) => {
-			budget?.give(length);
+			budget?.release(length);
 			length = 0;
 			chunks.length = 0;
-			request.off('data', take).off('end', finish).off('close', cut).pause();
+			request.off('data', onData).off('end', finish).off('close', cut).pause();
 			resolve(err(fault));
 		};
 
-		const take = (chunk: Uint8Array) => {
+		const onData = (chunk: Uint8Array) => {
 			if (length + chunk.length > limit) {
 				fail('tooLarge');
-			} else if (budget?.take(chunk.length) ?? true) {
+			} else if (budget?.reserve(chunk.length) ?? true) {
 				length += chunk.length;
 				chunks.push(chunk);
 			} else {
@@ -58,8 +58,8 @@
 			fail('cutShort');
 		};
 
-		request.on('data', take).on('end', finish).on('close', cut);
-		// The close that follows an error tells of it.
+		request.on('data', onData).on('end', finish).on('close', cut);
+		// The `close` event that follows an error is handled instead.
 		request.on('error', () => undefined);
 	});
 }
--- a/packages/node/src/request-chain.ts
+++ b/packages/node/src/request-chain.ts
@@ -1,6 +1,6 @@
 /**
- * What a request is within its chain: made anew at a first entry, or drawn
- * from the request that the node's own target is running.
+ * Places a request in its chain: starts a new chain at a first entry, or derives
+ * the request from the one that the local target is running.
  */
 import {createHash, randomUUID} from 'node:crypto';
 import {
@@ -13,9 +13,9 @@
 import {err, ok, type Result} from 'neverthrow';
 import type {CallerRequest} from './caller-request.js';
 import {readOperation} from './call-facts.js';
-import type {Allotment, RunningRequests} from './running-requests.js';
+import type {ChainAllocation, RunningRequests} from './running-requests.js';
 
-/** What the configuration in force says of a request. */
+/** The rules that the current configuration sets for a request. */
 export type Classification = {
 	requestClass: RequestClass;
 	idempotent: boolean;
@@ -25,19 +25,20 @@
 	attempts: number;
 };
 
-/** A request as the entry node carries it. */
+/** A request as handled by the entry node. */
 export type EntryCall = {
 	request: CallRequest;
 	operation: string;
 	/** Monotonic milliseconds. */
 	deadline: number;
-	/** Present when the node's own target made the call. */
-	allotment?: Allotment;
+	/** Present when the local target made the call. */
+	allocation?: ChainAllocation;
 };
 
 /**
- * Places a request in its chain, or says why its chain allows it nothing more.
- * The age is the time for which it may have waited to be read, in milliseconds.
+ * Places a request in its chain, or returns a refusal when the chain has no
+ * attempts or no time left. The age is the time for which it may have waited to
+ * be read, in milliseconds.
  */
 export function createEntryCall(
 	incoming: CallerRequest,
@@ -47,21 +48,21 @@
 ): Result<EntryCall, Refusal> {
 	const arrivedAt = now - age;
 	const operation = readOperation(incoming);
-	const allotment =
+	const allocation =
 		incoming.id === undefined
 			? undefined
-			: running.allot(incoming.id, {
+			: running.allocate(incoming.id, {
 					service: incoming.service,
 					operation: digestCall(incoming),
 				});
-	if (allotment === 'spent') {
+	if (allocation === 'spent') {
 		return err(createRefusal(ErrorCode.AttemptsSpent));
 	}
 
 	const timeLeft = Math.min(
 		incoming.timeLeft ?? rules.deadline,
 		rules.deadline,
-		(allotment?.deadline ?? Number.POSITIVE_INFINITY) - arrivedAt,
+		(allocation?.deadline ?? Number.POSITIVE_INFINITY) - arrivedAt,
 	);
 	const deadline = arrivedAt + timeLeft;
 	if (deadline <= now) {
@@ -72,7 +73,7 @@
 	return ok({
 		operation,
 		deadline,
-		...(allotment && {allotment}),
+		...(allocation && {allocation}),
 		request: {
 			id: incoming.id ?? randomUUID(),
 			service,
@@ -80,10 +81,10 @@
 			path,
 			headers,
 			body,
-			caller: allotment?.caller ?? incoming.caller,
+			caller: allocation?.caller ?? incoming.caller,
 			timeLeft: deadline - now,
-			requestClass: allotment?.requestClass ?? rules.requestClass,
-			attempts: allotment?.attempts ?? rules.attempts,
+			requestClass: allocation?.requestClass ?? rules.requestClass,
+			attempts: allocation?.attempts ?? rules.attempts,
 			idempotent: rules.idempotent,
 			...(key !== undefined && {key}),
 			...(keyExpiry !== undefined && {keyExpiry}),
@@ -91,7 +92,7 @@
 	});
 }
 
-/** Tells a repeat of a deeper call from another call of the same kind. */
+/** Distinguishes a repeat of a downstream call from another call of the same kind. */
 function digestCall({method, path, key, body}: CallerRequest): string {
 	const digest =
 		body.length === 0 ? '' : createHash('sha1').update(body).digest('base64');
--- a/packages/node/src/settings-address.ts
+++ b/packages/node/src/settings-address.ts
@@ -5,11 +5,11 @@
 /** An address in its parts; port 0 lets the system choose a free one. */
 export type Address = {host: string; port: number};
 
-const highestPort = 65_535;
+const maxPort = 65_535;
 const addressPattern =
 	/^(?:\[(?<bracketed>[^\]]+)\]|(?<plain>[^:]+)):(?<port>\d{1,5})$/u;
 
-/** Reads `10.0.0.1:7400` or `[::1]:7400`; undefined when it isn't one. */
+/** Parses `10.0.0.1:7400` or `[::1]:7400`; undefined for any other text. */
 export function parseAddress(text: string): Address | undefined {
 	const groups = addressPattern.exec(text)?.groups;
 	if (!groups) {
@@ -19,12 +19,10 @@
 	const host = groups.bracketed ?? groups.plain ?? '';
 	const family = groups.bracketed ? 6 : 4;
 	const port = Number(groups.port);
-	return isIP(host) === family && port <= highestPort
-		? {host, port}
-		: undefined;
+	return isIP(host) === family && port <= maxPort ? {host, port} : undefined;
 }
 
-/** The text that `parseAddress` reads. */
+/** Formats an address so that `parseAddress` can read it. */
 export function formatAddress({host, port}: Address): string {
 	return host.includes(':') ? `[${host}]:${port}` : `${host}:${port}`;
 }
--- a/packages/node/src/settings.ts
+++ b/packages/node/src/settings.ts
@@ -1,6 +1,6 @@
 /**
- * The settings of a node, written in YAML. This schema is the only place that
- * knows a key; the types, the findings and docs/SETTINGS.md follow from it.
+ * The settings of a node, written in YAML. This schema is the only definition of
+ * the keys; the types, the findings and docs/SETTINGS.md follow from it.
  */
 import {
 	createDurationSchema,
@@ -18,9 +18,9 @@
 const minute = 60 * second;
 const kilobyte = 1024;
 const megabyte = 1024 * kilobyte;
-const shortestSecret = 16;
+const minSecretLength = 16;
 
-/** The listeners of a node that names none: loopback, three ports in a row. */
+/** Default addresses of the listeners: loopback, on three consecutive ports. */
 export const defaultListeners = {
 	caller: '127.0.0.1:7400',
 	peer: '127.0.0.1:7401',
@@ -33,7 +33,7 @@
 		/^[A-Za-z\d][A-Za-z\d._-]{0,99}$/u,
 		'expected letters, digits, dots, hyphens or underscores, 100 at most, a letter or digit first',
 	);
-const secret = z.string().min(shortestSecret);
+const secret = z.string().min(minSecretLength);
 const count = z.int().min(1);
 const duration = createDurationSchema({least: '1ms', most: '24h'});
 const webAddress = z.url({
@@ -42,7 +42,7 @@
 });
 
 const listenersSchema = z.strictObject({
-	/** Requests of callers and of the target beside the node. */
+	/** Requests of callers and of the local target. */
 	caller: addressSchema.default(defaultListeners.caller),
 	/** Other nodes. */
 	peer: addressSchema.default(defaultListeners.peer),
@@ -51,15 +51,15 @@
 });
 
 const advertiseSchema = z.strictObject({
-	/** What callers are told, when it isn't the listener's own address. */
+	/** The address advertised to callers, when it isn't the listener's own. */
 	caller: addressSchema.optional(),
-	/** What other nodes are told, when it isn't the listener's own address. */
+	/** The address advertised to other nodes, when it isn't the listener's own. */
 	peer: addressSchema.optional(),
 });
 
 const platformSchema = z.strictObject({
 	address: webAddress,
-	/** After this long a call to the platform has no known result. */
+	/** Timeout of a call to the platform, after which its result is unknown. */
 	timeout: duration.default(2 * second),
 	/** Sent to the platform as bearer token. */
 	credential: z.string().optional(),
@@ -67,14 +67,14 @@
 
 const announcementSchema = z.strictObject({
 	service: name,
-	/** Requests that the target runs at once. */
+	/** Requests that the target runs at the same time. */
 	slots: count,
 	/** Connections that the target accepts. */
 	connections: count,
 });
 
 const targetSchema = z.strictObject({
-	/** Where the target beside the node listens. */
+	/** The address on which the local target listens. */
 	address: addressSchema,
 	/** For a target that can't announce itself; the node announces it then. */
 	announcement: announcementSchema.optional(),
@@ -92,17 +92,17 @@
 	body: sizeSchema.default(8 * megabyte),
 	/** All headers of one request together. */
 	headers: sizeSchema.default(16 * kilobyte),
-	/** The bodies of callers' requests that the node holds at once. */
+	/** The bodies of callers' requests that the node holds at the same time. */
 	bufferedBodies: sizeSchema.default(128 * megabyte),
 	/** Connections that the caller listener holds open. */
 	connections: count.default(4096),
 	/** A caller that takes longer to send its request is cut off. */
 	slowSender: duration.default(10 * second),
-	/** Idempotency keys that the node remembers at once. */
+	/** Idempotency keys that the node stores at the same time. */
 	ledgerKeys: count.default(65_536),
 	/** Recorded answers of those keys together. */
 	ledgerBytes: sizeSchema.default(16 * megabyte),
-	/** How long a key is remembered at most, and when the request states no expiry. */
+	/** How long a key is stored at most, and when the request states no expiry. */
 	keyLifetime: duration.default(2 * minute),
 });
 
@@ -116,13 +116,13 @@
 });
 
 const timingsSchema = z.strictObject({
-	/** A node that was paused longer announces itself afresh. */
+	/** A node that was paused for longer announces itself again. */
 	lease: duration.default(3 * second),
-	/** Between two probes of a peer. */
+	/** The interval between two probes of a peer. */
 	probe: duration.default(second),
-	/** Between two reads of the accepted version, spread by a jitter. */
+	/** The interval between two reads of the accepted version, with jitter. */
 	configurationRead: duration.default(2 * second),
-	/** The longest that a planned stop waits for requests in flight. */
+	/** The maximum time for which a planned stop waits for requests in flight. */
 	drain: duration.default(30 * second),
 });
 
@@ -136,7 +136,7 @@
 	advertise: advertiseSchema.prefault({}),
 	platform: platformSchema,
 	target: targetSchema.optional(),
-	/** Peer listeners to try first; the table knows the others. */
+	/** Peer listeners to try first; the others are read from the table. */
 	peers: z.array(addressSchema).default([]),
 	secrets: secretsSchema.prefault({}),
 	limits: limitsSchema.prefault({}),
--- a/packages/node/src/start-node.ts
+++ b/packages/node/src/start-node.ts
@@ -1,6 +1,6 @@
 /**
- * Starts one node from its settings: the core, control and the three
- * listeners, and stops them in the order that cuts nothing.
+ * Starts one node from its settings: the core, control and the three listeners.
+ * Stops them in an order that cuts no requests.
  */
 import {createHash} from 'node:crypto';
 import {
@@ -22,27 +22,27 @@
 import {createAdminListener} from './admin-listener.js';
 import {createAdminServices} from './admin-services.js';
 import {createCallerListener} from './caller-listener.js';
-import {followControl} from './control-follower.js';
+import {subscribeToControl} from './control-subscription.js';
 import {createNodeCore, type CoreControl, type NodeCore} from './node-core.js';
 import {createNodeInstruments} from './node-instruments.js';
 import {formatAddress, parseAddress} from './settings-address.js';
-import {readGauges, type ReadParts} from './node-readings.js';
+import {readGauges, type GaugeSources} from './node-readings.js';
 import type {NodeReporter} from './node-reporter.js';
 import type {NodeSettings} from './settings.js';
 import {createSupervisor} from './supervisor.js';
-import {createTargetBeside} from './target-beside.js';
+import {createAnnouncementHandler} from './announcement-handler.js';
 import {
 	createWebSocketTransport,
 	type WebSocketTransport,
 } from './web-socket-transport.js';
 
-/** A node that serves. */
+/** A running node. */
 export type RunningNode = {
-	/** The addresses that its listeners got, `ip:port`. */
+	/** The addresses that its listeners are bound to, `ip:port`. */
 	addresses: {caller: string; peer: string; admin: string};
 	/** A planned stop: resolves with the number of requests that were cut. */
 	drain(): Promise<number>;
-	/** Stops at once; the number of requests that were cut. */
+	/** Stops immediately; resolves with the number of requests that were cut. */
 	stop(): Promise<number>;
 };
 
@@ -52,16 +52,16 @@
 	policy?: Policy;
 };
 
-/** Bytes that a message may have beyond its body: headers and its envelope. */
-const envelopeSize = 256 * 1024;
-/** Peers that may shake hands at once: a data centre's worth after a restart. */
+/** Maximum bytes of a message besides its body, for headers and envelope. */
+const envelopeLimit = 256 * 1024;
+/** Maximum concurrent handshakes: all peers of a data centre after a restart. */
 const handshakeLimit = 128;
-const wildcardPort = 0;
+const anyFreePort = 0;
 
 /**
- * Starts a node. It rejects with Node's own error when a listener can't have
- * its port; an unreachable platform is no error, since a data centre that is
- * cut off has to serve what it can.
+ * Starts a node. Rejects with Node's error when a listener can't bind its port.
+ * An unreachable platform is no error, because a data centre that is cut off has
+ * to serve what it can.
  */
 export async function startNode(
 	settings: NodeSettings,
@@ -72,14 +72,14 @@
 	const startedAt = clock.date().getTime();
 	const random = createRandom(createSeed(node, startedAt));
 	const self: Home = {node, incarnation: startedAt};
-	const parts: ReadParts = {};
+	const gaugeSources: GaugeSources = {};
 	const instruments = createNodeInstruments(settings, clock, () =>
-		readGauges(parts, instruments.log.dropped()),
+		readGauges(gaugeSources, instruments.log.dropped()),
 	);
 	const {reporter} = instruments;
 	const supervisor = createSupervisor(clock, ({path, error, restartIn}) => {
 		const detail = describeError(error);
-		reporter.notice({name: 'childFailed', path, detail, restartIn});
+		reporter.recordEvent({name: 'childFailed', path, detail, restartIn});
 	});
 	const transport = createTransport(settings, clock, self, reporter);
 	const peer = await listenOn(transport, settings.listeners.peer);
@@ -92,7 +92,7 @@
 		random: random.fork(),
 		node,
 		onSuspects(suspects) {
-			core.quarantine.takeStored(suspects);
+			core.quarantine.applyStoredSuspects(suspects);
 		},
 	});
 	const core: NodeCore = createNodeCore({
@@ -109,7 +109,7 @@
 			bytesCapacity: limits.ledgerBytes,
 			maximumLifetime: limits.keyLifetime,
 		},
-		keepSuspects: suspectRows.note,
+		persistSuspects: suspectRows.note,
 		control: createCoreControl(
 			() => control,
 			(service) => core.isServed(service),
@@ -123,9 +123,9 @@
 		bufferLimit: limits.bufferedBodies,
 		headerLimit: limits.headers,
 		connectionLimit: limits.connections,
-		requestTime: limits.slowSender,
+		requestTimeout: limits.slowSender,
 		announce(announcement) {
-			takeTarget(announcement);
+			handleAnnouncement(announcement);
 		},
 	});
 	const callerAddress = await listenOn(caller, settings.listeners.caller);
@@ -133,32 +133,32 @@
 	const control = createControl(
 		readControlOptions(settings, {clock, random, core, member, platform}),
 	);
-	parts.control = control;
-	parts.core = core;
+	gaugeSources.control = control;
+	gaugeSources.core = core;
 
-	const takeTarget = createTargetBeside(settings, core, control);
+	const handleAnnouncement = createAnnouncementHandler(settings, core, control);
 	const admin = createAdminListener({
 		services: createAdminServices({node, control, core, instruments}),
 		bodyLimit: limits.body,
 		...(secrets.operator !== undefined && {secret: secrets.operator}),
 		onMalformed(detail) {
-			reporter.notice({name: 'operatorRefused', detail});
+			reporter.recordEvent({name: 'operatorRefused', detail});
 		},
 	});
 	const adminAddress = await listenOn(admin, settings.listeners.admin);
-	followControl(control, core, instruments.reporter);
+	subscribeToControl(control, core, instruments.reporter);
 	void suspectRows.run(supervisor.signal);
 	await control.start(supervisor.signal);
 	if (control.configuration.source() === 'defaults') {
-		reporter.notice({name: 'runningOnDefaults'});
+		reporter.recordEvent({name: 'runningOnDefaults'});
 	}
 
 	if (settings.target?.announcement) {
-		takeTarget(settings.target.announcement);
+		handleAnnouncement(settings.target.announcement);
 	}
 
 	const stop = async () => {
-		const cut = core.open();
+		const cut = core.openRequests();
 		core.peers.close();
 		await Promise.all([caller.close(), admin.close(), transport.close()]);
 		await supervisor.stop();
@@ -182,7 +182,7 @@
 			caller.drain();
 			await control.end();
 			const cut = await stop();
-			reporter.notice({name: 'drained', cut});
+			reporter.recordEvent({name: 'drained', cut});
 			instruments.log.flush();
 			return cut;
 		},
@@ -190,8 +190,9 @@
 }
 
 /**
- * Nodes that start in the same millisecond, as after a power cut, would
- * otherwise read the platform and probe their peers in step.
+ * The seed depends on the name, because nodes that start in the same
+ * millisecond, as after a power cut, would otherwise read the platform and probe
+ * their peers in step.
  */
 function createSeed(node: string, startedAt: number): number {
 	return createHash('sha256')
@@ -210,18 +211,21 @@
 		clock,
 		self: () => ({...self, dataCentre}),
 		secret: secrets.peer ?? '',
-		messageLimit: limits.body + envelopeSize,
+		messageLimit: limits.body + envelopeLimit,
 		handshakeLimit,
 		onMalformed(detail) {
-			reporter.notice({name: 'malformedMessage', detail});
+			reporter.recordEvent({name: 'malformedMessage', detail});
 		},
 		onRefused(detail) {
-			reporter.notice({name: 'peerRefused', detail});
+			reporter.recordEvent({name: 'peerRefused', detail});
 		},
 	});
 }
 
-/** Control as the core sees it; it is asked for because core and control need each other. */
+/**
+ * The interface of the core to control. It takes a function because core and
+ * control depend on each other.
+ */
 function createCoreControl(
 	control: () => Control,
 	isServed: (service: string) => boolean,
@@ -305,10 +309,10 @@
 async function listenOn(listener: Listening, address: string): Promise<string> {
 	const {host, port} = parseAddress(address) ?? {
 		host: address,
-		port: wildcardPort,
+		port: anyFreePort,
 	};
-	const got = await listener.listen(host, port);
-	return formatAddress({host, port: got});
+	const boundPort = await listener.listen(host, port);
+	return formatAddress({host, port: boundPort});
 }
 
 function describeError(error: unknown): string {
--- a/packages/node/src/turn-queue.ts
+++ b/packages/node/src/turn-queue.ts
@@ -1,6 +1,7 @@
 /**
- * The requests that wait for the admission's word. The admission decides; this
- * wakes it when it asks to be woken, and tells each request its turn.
+ * Holds the requests that wait for admission. The admission policy decides; the
+ * queue calls it when its next decision is due, and settles the waiting
+ * requests.
  */
 import type {
 	AdmissionPolicy,
@@ -12,11 +13,11 @@
 
 /** The waiting requests of one target. */
 export type TurnQueue = {
-	/** Resolves with the request's turn; a caller that gives up takes it back. */
+	/** Resolves with the request's turn. A request whose caller gives up is withdrawn. */
 	wait(facts: CallFacts, signal: AbortSignal): Promise<QueueDecision>;
-	/** Tells every turn that is due; to be called when a slot is free. */
-	takeTurns(): void;
-	/** Hands back everything that waits. */
+	/** Settles every turn that is due; to be called when a slot is free. */
+	dispatchTurns(): void;
+	/** Drains the admission and settles every waiting request. */
 	drain(): void;
 };
 
@@ -26,7 +27,7 @@
 	admission: AdmissionPolicy,
 ): TurnQueue {
 	const waiting = new Map<string, (turn: QueueDecision) => void>();
-	let wake: Timer | undefined;
+	let wakeTimer: Timer | undefined;
 
 	const settleAll = (turns: QueueDecision[]) => {
 		for (const turn of turns) {
@@ -35,17 +36,17 @@
 			settle?.(turn);
 		}
 
-		setWake();
+		scheduleWake();
 	};
 
 	const takeTurns = () => {
 		settleAll(admission.processQueue(clock.now()));
 	};
 
-	const setWake = () => {
-		wake?.cancel();
+	const scheduleWake = () => {
+		wakeTimer?.cancel();
 		const at = admission.wakeAt();
-		wake =
+		wakeTimer =
 			at === undefined
 				? undefined
 				: clock.setTimer(Math.max(0, at - clock.now()), takeTurns);
@@ -55,14 +56,14 @@
 		async wait({id}, signal) {
 			return new Promise((resolve) => {
 				const settle = (turn: QueueDecision) => {
-					signal.removeEventListener('abort', giveUp);
+					signal.removeEventListener('abort', onAbort);
 					resolve(turn);
 				};
 
-				const giveUp = () => {
+				const onAbort = () => {
 					if (waiting.delete(id)) {
 						admission.withdraw(id, clock.now());
-						setWake();
+						scheduleWake();
 						settle({
 							id,
 							kind: 'refuse',
@@ -74,11 +75,11 @@
 				};
 
 				waiting.set(id, settle);
-				signal.addEventListener('abort', giveUp);
-				setWake();
+				signal.addEventListener('abort', onAbort);
+				scheduleWake();
 			});
 		},
-		takeTurns,
+		dispatchTurns: takeTurns,
 		drain() {
 			settleAll(admission.drain(clock.now()));
 		},
--- a/packages/node/src/web-socket-transport.ts
+++ b/packages/node/src/web-socket-transport.ts
@@ -5,23 +5,23 @@
 import type {MessageChannel, PeerTransport} from './message-channel.js';
 import {openChannel, type ChannelContext} from './web-socket-channel.js';
 
-/** What the transport needs to know. */
+/** Options of the transport. */
 export type WebSocketTransportOptions = ChannelContext & {
 	/** The largest message in bytes: a body and its headers. */
 	messageLimit: number;
-	/** Connections that may shake hands at once; more are refused. */
+	/** Maximum concurrent handshakes of incoming connections; more are refused. */
 	handshakeLimit: number;
-	/** A peer was refused, and why. */
+	/** Called with the reason when a peer was refused. */
 	onRefused: (detail: string) => void;
 };
 
-/** The transport, and the address that its listener got. */
+/** The transport with its listener. */
 export type WebSocketTransport = PeerTransport & {
 	listen(host: string, port: number): Promise<number>;
 };
 
-/** Milliseconds to open a connection; a peer that takes longer is as good as unreachable. */
-const connectTime = 2000;
+/** Timeout in milliseconds for opening a connection; a slower peer counts as unreachable. */
+const connectTimeoutMs = 2000;
 
 /** Creates the transport; nothing listens until `listen`. */
 export function createWebSocketTransport(
@@ -37,17 +37,17 @@
 	});
 	const sockets = new Set<WebSocket>();
 	let handler: (channel: MessageChannel) => void = () => undefined;
-	let shaking = 0;
+	let handshakesInProgress = 0;
 
 	const track = (socket: WebSocket) => {
 		sockets.add(socket);
 		socket.on('close', () => sockets.delete(socket));
 	};
 
-	const shake = async (socket: WebSocket) => {
-		shaking++;
+	const performHandshake = async (socket: WebSocket) => {
+		handshakesInProgress++;
 		const channel = await openChannel(socket, 'acceptor', options);
-		shaking--;
+		handshakesInProgress--;
 		channel.match(
 			(accepted) => {
 				handler(accepted);
@@ -60,13 +60,13 @@
 
 	socketServer.on('connection', (socket) => {
 		track(socket);
-		if (shaking >= options.handshakeLimit) {
+		if (handshakesInProgress >= options.handshakeLimit) {
 			socket.close(1013, 'too many handshakes');
 			options.onRefused('too many handshakes');
 			return;
 		}
 
-		void shake(socket);
+		void performHandshake(socket);
 	});
 
 	return {
@@ -76,7 +76,7 @@
 		async connect(address, signal) {
 			const socket = new WebSocket(`ws://${address}`, {
 				perMessageDeflate: false,
-				handshakeTimeout: connectTime,
+				handshakeTimeout: connectTimeoutMs,
 				maxPayload: options.messageLimit,
 			});
 			track(socket);
@@ -112,7 +112,7 @@
 	};
 }
 
-/** Listens and gives the port; the error is Node's own, such as EADDRINUSE. */
+/** Listens and returns the port; rejects with Node's error, such as EADDRINUSE. */
 export async function listen(
 	server: Server,
 	host: string,
