--- a/packages/mesh/src/entry.ts
+++ b/packages/mesh/src/entry.ts
@@ -5,7 +5,7 @@
 	createPassage,
 	type PassageEnd,
 	type PassageOptions,
-} from './passage.js';
+} from './request-forwarding.js';
 import type {HeaderNames} from './header-names.js';
 import type {QuotaExchange} from './quota-exchange.js';
 import type {RouteTable, TableRoute} from './route-table.js';
--- a/packages/mesh/src/local-candidate.ts
+++ b/packages/mesh/src/local-candidate.ts
@@ -1,6 +1,6 @@
 /** The target beside this node as one that may be chosen. */
 import type {TargetCandidate} from './directory.js';
-import type {Gatekeeper} from './gatekeeper.js';
+import type {Gatekeeper} from './target-dispatcher.js';
 
 /** Stands for this node's own target among those that were tried; no node has an empty name. */
 export const localNode = '';
--- a/packages/mesh/src/mesh-node.ts
+++ b/packages/mesh/src/mesh-node.ts
@@ -17,12 +17,12 @@
 } from './decisions/retry-budget.js';
 import {createDirectory} from './directory.js';
 import {createEntry} from './entry.js';
-import {createGatekeeper} from './gatekeeper.js';
+import {createGatekeeper} from './target-dispatcher.js';
 import {createGossip} from './gossip.js';
 import type {HeaderNames} from './header-names.js';
 import {createNewsHandler} from './peer-news.js';
-import {waitUntilIdle} from './planned-stop.js';
-import {createLearning} from './learning.js';
+import {waitUntilIdle} from './graceful-shutdown.js';
+import {createLearning} from './profile-updates.js';
 import {createLoadReport} from './load-report.js';
 import {createMemberRegister} from './member-register.js';
 import type {MeshReporter} from './mesh-reporter.js';
@@ -38,7 +38,7 @@
 import {createSuspectRegister} from './suspect-register.js';
 import {createSuspects, toMessage} from './suspects.js';
 import {createTicker} from './ticker.js';
-import {createTargetBelief} from './target-belief.js';
+import {createTargetBelief} from './target-tracker.js';
 import type {Announcement, Withdrawal} from './target-record.js';
 
 /** What a deployment says of one node. */
--- a/packages/mesh/src/own-news.ts
+++ b/packages/mesh/src/own-news.ts
@@ -2,14 +2,14 @@
 import type {CallProfile} from './decisions/call-profile.js';
 import type {InnerRoutes} from './decisions/inner-routes.js';
 import type {ConfigurationFollower} from './configuration-follower.js';
-import type {Gatekeeper} from './gatekeeper.js';
+import type {Gatekeeper} from './target-dispatcher.js';
 import type {
 	HelloMessage,
 	Member,
 	ProfilesMessage,
 	StateMessage,
 } from './peer-message.js';
-import type {TargetBelief} from './target-belief.js';
+import type {TargetBelief} from './target-tracker.js';
 
 /** Where the news come from; each is asked when something is told. */
 export type OwnNewsOptions = {
--- a/packages/mesh/src/passage.ts
+++ b/packages/mesh/src/request-forwarding.ts
@@ -23,10 +23,10 @@
 } from './decisions/retry-budget.js';
 import type {Directory, TargetCandidate} from './directory.js';
 import {isTargetFailure, type HandedRequest, type Outcome} from './exchange.js';
-import type {Gatekeeper} from './gatekeeper.js';
+import type {Gatekeeper} from './target-dispatcher.js';
 import {createLocalCandidate, localNode} from './local-candidate.js';
 import type {MeshReporter} from './mesh-reporter.js';
-import {createPassageReport} from './passage-report.js';
+import {createPassageReport} from './forwarding-report.js';
 import type {RoutePressure} from './route-pressure.js';
 import type {TableRoute} from './route-table.js';
 import type {Suspects} from './suspects.js';
--- a/packages/mesh/src/target-belief.ts
+++ b/packages/mesh/src/target-tracker.ts
@@ -1,6 +1,6 @@
 /** What this node believes of the target beside it, and whom it tells when that changes. */
 import type {Clock} from '@egretspoke/shared';
-import type {Gatekeeper} from './gatekeeper.js';
+import type {Gatekeeper} from './target-dispatcher.js';
 import type {MeshReporter} from './mesh-reporter.js';
 import type {TargetState} from './peer-message.js';
 import {
