--- a/packages/mesh/__tests__/target-record.spec.ts
+++ b/packages/mesh/__tests__/target-record.spec.ts
@@ -1,7 +1,7 @@
 import {expect} from 'chai';
 import {
-	takeAnnouncement,
-	takeWithdrawal,
+	applyAnnouncement,
+	applyWithdrawal,
 	type Announcement,
 	type TargetRecord,
 } from '../src/target-record.js';
@@ -20,7 +20,7 @@
 
 describe('the record of a target', () => {
 	it('takes a later start, also under the same id', () => {
-		const change = takeAnnouncement(known, {
+		const change = applyAnnouncement(known, {
 			...announcement,
 			startedAt: 2000,
 			sequence: 1,
@@ -33,7 +33,7 @@
 		// on its address; then the partition heals and the old announcement
 		// arrives. Taken, requests would carry the id of a target that is gone,
 		// and users would get failures from a healthy one.
-		const change = takeAnnouncement(known, {
+		const change = applyAnnouncement(known, {
 			...announcement,
 			targetId: 'target-0',
 			startedAt: 500,
@@ -45,19 +45,19 @@
 	it('does not take back a leaving when an older announcement arrives after it', () => {
 		// The announcement before the leaving was delayed on the way. Taken as
 		// news, the target would get work until it ends in the middle of it.
-		const leaving = takeAnnouncement(known, {
+		const leaving = applyAnnouncement(known, {
 			...announcement,
 			sequence: 7,
 			isLeaving: true,
 		});
 		expect(leaving).to.have.nested.property('record.isLeaving', true);
-		const late = takeAnnouncement(
+		const late = applyAnnouncement(
 			{...known, isLeaving: true, sequence: 7},
 			{...announcement, sequence: 6},
 		);
 		expect(late).to.have.nested.property('record.isLeaving', true);
 		expect(late).to.have.nested.property('record.sequence', 7);
-		const later = takeAnnouncement(
+		const later = applyAnnouncement(
 			{...known, isLeaving: true, sequence: 7},
 			{...announcement, sequence: 8},
 		);
@@ -65,7 +65,7 @@
 	});
 
 	it('takes a leaving that arrives behind a later announcement', () => {
-		const change = takeAnnouncement(known, {
+		const change = applyAnnouncement(known, {
 			...announcement,
 			sequence: 4,
 			isLeaving: true,
@@ -81,7 +81,7 @@
 			{targetId: 'target-0', startedAt: undefined, kind: 'stale'},
 		];
 		for (const {kind, ...withdrawal} of farewells) {
-			expect(takeWithdrawal(known, withdrawal, 5000).kind).to.equal(kind);
+			expect(applyWithdrawal(known, withdrawal, 5000).kind).to.equal(kind);
 		}
 	});
 
@@ -89,24 +89,24 @@
 		// The target says that it leaves, and the answer is lost on the way. It
 		// says the same again; refused, it would end without waiting for its work.
 		const leaving = {...announcement, sequence: 7, isLeaving: true};
-		const first = takeAnnouncement(known, leaving);
+		const first = applyAnnouncement(known, leaving);
 		const record = first.kind === 'stale' ? known : first.record;
-		expect(takeAnnouncement(record, leaving).kind).to.equal('same');
+		expect(applyAnnouncement(record, leaving).kind).to.equal('same');
 	});
 
 	it('keeps a farewell that reaches a node which knows no target yet', () => {
 		// The node has just started again when its target says farewell. An
 		// announcement from before that is still on its way must not bring the
 		// target back; the next target, started later, is taken.
-		const change = takeWithdrawal(
+		const change = applyWithdrawal(
 			undefined,
 			{targetId: 'target-1', startedAt: undefined},
 			5000,
 		);
 		expect(change.kind).to.equal('changed');
 		const record = change.kind === 'stale' ? known : change.record;
-		expect(takeAnnouncement(record, announcement).kind).to.equal('stale');
+		expect(applyAnnouncement(record, announcement).kind).to.equal('stale');
 		const next = {...announcement, targetId: 'target-2', startedAt: 6000};
-		expect(takeAnnouncement(record, next).kind).to.equal('changed');
+		expect(applyAnnouncement(record, next).kind).to.equal('changed');
 	});
 });
--- a/packages/mesh/src/compact-message.ts
+++ b/packages/mesh/src/compact-message.ts
@@ -6,7 +6,7 @@
  * data centres are paid for. Lists are also quicker to write and to read.
  */
 import type {
-	HandedRequest,
+	ForwardedRequest,
 	LossReason,
 	Outcome,
 	RefusalReason,
@@ -17,7 +17,7 @@
 export type CompactMessage =
 	/** How loaded the sender's target is, when no outcome has told it lately. */
 	| {kind: 'load'; load: TargetLoad}
-	| {kind: 'request'; exchange: number; request: HandedRequest}
+	| {kind: 'request'; exchange: number; request: ForwardedRequest}
 	| {kind: 'cancel'; exchange: number}
 	| {
 			kind: 'outcome';
--- a/packages/mesh/src/crash-report.ts
+++ b/packages/mesh/src/crash-report.ts
@@ -7,13 +7,13 @@
 	type TimedRun,
 } from '@egretspoke/quarantine';
 import type {Clock} from '@egretspoke/shared';
-import type {HandedRequest} from './exchange.js';
+import type {ForwardedRequest} from './exchange.js';
 import type {HeaderNames} from './header-names.js';
 import type {MeshReporter} from './mesh-reporter.js';
 import {partsOf} from './request-parts.js';
 
 /** A request at the target. */
-export type WatchedRun = TimedRun & {request: HandedRequest};
+export type WatchedRun = TimedRun & {request: ForwardedRequest};
 
 /** What the report needs. */
 export type CrashReportOptions = {
--- a/packages/mesh/src/entry.ts
+++ b/packages/mesh/src/entry.ts
@@ -2,9 +2,9 @@
 import type {CallerRequest, FinalAnswer, OwnAnswer} from './caller-request.js';
 import {shortReturn} from './decisions/return-time.js';
 import {
-	createPassage,
-	type PassageEnd,
-	type PassageOptions,
+	forwardRequest,
+	type ForwardingCallbacks,
+	type ForwardingOptions,
 } from './request-forwarding.js';
 import type {HeaderNames} from './header-names.js';
 import type {QuotaExchange} from './quota-exchange.js';
@@ -12,7 +12,7 @@
 import type {Workspace} from './workspace.js';
 
 /** What an entry needs. */
-export type EntryOptions = PassageOptions & {
+export type EntryOptions = ForwardingOptions & {
 	routes: () => RouteTable | undefined;
 	quotas: Pick<QuotaExchange, 'allows' | 'noteAdmitted' | 'returnTime'>;
 	headerNames: Pick<HeaderNames, 'workspace'>;
@@ -63,7 +63,7 @@
 function handleRequest(
 	options: EntryOptions,
 	request: CallerRequest,
-	end: PassageEnd,
+	end: ForwardingCallbacks,
 ): () => void {
 	const admission = admit(options, request);
 	if (admission.kind === 'rejected') {
@@ -83,7 +83,7 @@
 		}
 	};
 
-	return createPassage(options, request, {route, urgency, onAdmitted}, end);
+	return forwardRequest(options, request, {route, urgency, onAdmitted}, end);
 }
 
 function admit(
--- a/packages/mesh/src/exchange.ts
+++ b/packages/mesh/src/exchange.ts
@@ -1,7 +1,7 @@
 /** A request on its way to a target, and what came of it. */
 
 /** What an entry hands to the node beside a target. */
-export type HandedRequest = {
+export type ForwardedRequest = {
 	/** The caller's id of this attempt. */
 	requestId: string;
 	method: string;
@@ -119,5 +119,5 @@
 
 /** A way to one target: through the link to its node, or beside this node. */
 export type TargetChannel = {
-	send(request: HandedRequest, onOutcome: OutcomeHandler): CancelAttempt;
+	send(request: ForwardedRequest, onOutcome: OutcomeHandler): CancelAttempt;
 };
--- a/packages/mesh/src/forwarding-report.ts
+++ b/packages/mesh/src/forwarding-report.ts
@@ -9,10 +9,10 @@
 import type {MeshReporter} from './mesh-reporter.js';
 
 /** What was known when the request came in. */
-export type PassageFacts = {route: string; service: string; isInner: boolean};
+export type ForwardingFacts = {route: string; service: string; isInner: boolean};
 
 /** What had become of it at its end. */
-export type PassageTries = {
+export type ForwardingAttempts = {
 	/** Targets that got it. */
 	arrivals: number;
 	/** Gatekeepers that turned it away. */
@@ -24,8 +24,8 @@
 };
 
 /** Tells the end of one request; one of the two is called, once. */
-export type PassageReport = {
-	answered(final: FinalAnswer, tries: PassageTries): void;
+export type ForwardingReport = {
+	answered(final: FinalAnswer, tries: ForwardingAttempts): void;
 	/** The caller has gone. */
 	left(): void;
 };
@@ -34,15 +34,15 @@
 const leastFailureStatus = 500;
 
 /** Creates the report of a request that has just come in. */
-export function createPassageReport(
+export function createForwardingReport(
 	{
 		clock,
 		reporter,
 		metrics,
 	}: {clock: Clock; reporter: MeshReporter; metrics: MeshMetrics},
 	{requestId, arrivedAt}: CallerRequest,
-	facts: PassageFacts,
-): PassageReport {
+	facts: ForwardingFacts,
+): ForwardingReport {
 	const count = (outcome: MeshOutcome, reason: string) => {
 		metrics.requestEnded({
 			route: facts.route,
--- a/packages/mesh/src/local-candidate.ts
+++ b/packages/mesh/src/local-candidate.ts
@@ -1,13 +1,13 @@
 /** The target beside this node as one that may be chosen. */
 import type {TargetCandidate} from './directory.js';
-import type {Gatekeeper} from './target-dispatcher.js';
+import type {TargetDispatcher} from './target-dispatcher.js';
 
 /** Stands for this node's own target among those that were tried; no node has an empty name. */
 export const localNode = '';
 
 /** Its state as of now; it is doubtful while this node stops. */
 export function createLocalCandidate(
-	gatekeeper: Gatekeeper,
+	gatekeeper: TargetDispatcher,
 	isDoubtful: boolean,
 ): TargetCandidate {
 	const load = gatekeeper.load();
--- a/packages/mesh/src/mesh-node.ts
+++ b/packages/mesh/src/mesh-node.ts
@@ -17,12 +17,12 @@
 } from './decisions/retry-budget.js';
 import {createDirectory} from './directory.js';
 import {createEntry} from './entry.js';
-import {createGatekeeper} from './target-dispatcher.js';
+import {createTargetDispatcher} from './target-dispatcher.js';
 import {createGossip} from './gossip.js';
 import type {HeaderNames} from './header-names.js';
 import {createNewsHandler} from './peer-news.js';
 import {waitUntilIdle} from './graceful-shutdown.js';
-import {createLearning} from './profile-updates.js';
+import {createProfileUpdates} from './profile-updates.js';
 import {createLoadReport} from './load-report.js';
 import {createMemberRegister} from './member-register.js';
 import type {MeshReporter} from './mesh-reporter.js';
@@ -38,7 +38,7 @@
 import {createSuspectRegister} from './suspect-register.js';
 import {createSuspects, toMessage} from './suspects.js';
 import {createTicker} from './ticker.js';
-import {createTargetBelief} from './target-tracker.js';
+import {createTargetTracker} from './target-tracker.js';
 import type {Announcement, Withdrawal} from './target-record.js';
 
 /** What a deployment says of one node. */
@@ -163,7 +163,7 @@
 		register: () => suspectRegister,
 	});
 
-	const gatekeeper = createGatekeeper({
+	const gatekeeper = createTargetDispatcher({
 		clock,
 		wheel,
 		headerNames,
@@ -292,7 +292,7 @@
 			return levels;
 		},
 	});
-	const learning = createLearning({
+	const learning = createProfileUpdates({
 		clock,
 		ticker,
 		signal: life.signal,
@@ -353,15 +353,15 @@
 			directory.addMembers(members, 'store');
 		},
 		onEarlierLeaving(record) {
-			belief.takeEarlierLeaving(record);
+			belief.restoreLeaving(record);
 		},
 	});
 
-	const belief = createTargetBelief({
+	const belief = createTargetTracker({
 		clock,
-		gatekeeper,
+		dispatcher: gatekeeper,
 		reporter,
-		keepLeaving: async (record) => register.keepLeaving(record),
+		persistLeaving: async (record) => register.keepLeaving(record),
 		onChange: tellState,
 	});
 
@@ -424,9 +424,9 @@
 			callerListener.drain();
 			await waitUntilIdle(clock, settings.grace, () => {
 				callerListener.drain();
-				return entry.open() === 0 && gatekeeper.held() === 0;
+				return entry.open() === 0 && gatekeeper.openRequests() === 0;
 			});
-			reporter.notice('drained', {cut: entry.open() + gatekeeper.held()});
+			reporter.notice('drained', {cut: entry.open() + gatekeeper.openRequests()});
 			abort();
 		},
 		abort,
--- a/packages/mesh/src/own-news.ts
+++ b/packages/mesh/src/own-news.ts
@@ -2,22 +2,22 @@
 import type {CallProfile} from './decisions/call-profile.js';
 import type {InnerRoutes} from './decisions/inner-routes.js';
 import type {ConfigurationFollower} from './configuration-follower.js';
-import type {Gatekeeper} from './target-dispatcher.js';
+import type {TargetDispatcher} from './target-dispatcher.js';
 import type {
 	HelloMessage,
 	Member,
 	ProfilesMessage,
 	StateMessage,
 } from './peer-message.js';
-import type {TargetBelief} from './target-tracker.js';
+import type {TargetTracker} from './target-tracker.js';
 
 /** Where the news come from; each is asked when something is told. */
 export type OwnNewsOptions = {
 	self: Member;
 	isStopping: () => boolean;
 	follower: () => Pick<ConfigurationFollower, 'current' | 'isFollowing'>;
-	belief: () => Pick<TargetBelief, 'state'>;
-	gatekeeper: () => Pick<Gatekeeper, 'load'>;
+	belief: () => Pick<TargetTracker, 'state'>;
+	gatekeeper: () => Pick<TargetDispatcher, 'load'>;
 	innerRoutes: Pick<InnerRoutes, 'asked'>;
 	profile: Pick<CallProfile, 'profiles'>;
 };
--- a/packages/mesh/src/peer-link.ts
+++ b/packages/mesh/src/peer-link.ts
@@ -13,7 +13,7 @@
 import {WebSocket} from 'ws';
 import type {
 	CancelAttempt,
-	HandedRequest,
+	ForwardedRequest,
 	OutcomeHandler,
 	TargetChannel,
 } from './exchange.js';
@@ -71,7 +71,7 @@
 const longestPause = 1000;
 
 type Exchange = {
-	request: HandedRequest;
+	request: ForwardedRequest;
 	onOutcome: OutcomeHandler;
 	channel: PeerChannel;
 };
--- a/packages/mesh/src/profile-updates.ts
+++ b/packages/mesh/src/profile-updates.ts
@@ -2,11 +2,11 @@
 import type {Clock} from '@egretspoke/shared';
 import {profilePeriod, type CallProfile} from './decisions/call-profile.js';
 import {createPacedNews} from './paced-news.js';
-import {pressurePeriod, type RoutePressure} from './route-pressure.js';
+import {pressureRefreshInterval, type RoutePressure} from './route-pressure.js';
 import type {Ticker} from './ticker.js';
 
 /** What the learning needs. */
-export type LearningOptions = {
+export type ProfileUpdatesOptions = {
 	clock: Clock;
 	ticker: Ticker;
 	/** Ends the learning. */
@@ -24,7 +24,7 @@
 const longestNewsPause = 3000;
 
 /** Creates the learning, which has not started. */
-export function createLearning(options: LearningOptions): {start(): void} {
+export function createProfileUpdates(options: ProfileUpdatesOptions): {start(): void} {
 	const {clock, ticker, signal, profile, pressure} = options;
 	const news = createPacedNews({
 		clock,
@@ -43,7 +43,7 @@
 					news.note();
 				}
 			});
-			ticker.schedule(pressurePeriod, () => {
+			ticker.schedule(pressureRefreshInterval, () => {
 				pressure.refresh();
 			});
 		},
--- a/packages/mesh/src/repeated-offers.ts
+++ b/packages/mesh/src/repeated-offers.ts
@@ -8,7 +8,7 @@
 } from './decisions/offer-budget.js';
 import {createOwnCalls} from './decisions/own-calls.js';
 import {createRecentShare} from './decisions/recent-share.js';
-import type {HandedRequest, Outcome} from './exchange.js';
+import type {ForwardedRequest, Outcome} from './exchange.js';
 
 /** What the offers need. */
 export type RepeatedOffersOptions = {
@@ -20,7 +20,7 @@
 /** The offers to one target; instants by the steady clock, in milliseconds. */
 export type RepeatedOffers = {
 	/** The target is handed a request. */
-	noteStart(request: HandedRequest, now: number): void;
+	noteStart(request: ForwardedRequest, now: number): void;
 	/** What came of one offer. */
 	noteOffer(outcome: Outcome, now: number): void;
 	/** What came of the request in the end. */
--- a/packages/mesh/src/request-forwarding.ts
+++ b/packages/mesh/src/request-forwarding.ts
@@ -22,22 +22,22 @@
 	type RetryBudget,
 } from './decisions/retry-budget.js';
 import type {Directory, TargetCandidate} from './directory.js';
-import {isTargetFailure, type HandedRequest, type Outcome} from './exchange.js';
-import type {Gatekeeper} from './target-dispatcher.js';
+import {isTargetFailure, type ForwardedRequest, type Outcome} from './exchange.js';
+import type {TargetDispatcher} from './target-dispatcher.js';
 import {createLocalCandidate, localNode} from './local-candidate.js';
 import type {MeshReporter} from './mesh-reporter.js';
-import {createPassageReport} from './forwarding-report.js';
+import {createForwardingReport} from './forwarding-report.js';
 import type {RoutePressure} from './route-pressure.js';
 import type {TableRoute} from './route-table.js';
 import type {Suspects} from './suspects.js';
 
 /** What every passage of a node needs. */
-export type PassageOptions = {
+export type ForwardingOptions = {
 	clock: Clock;
 	random: Random;
 	wheel: DeadlineWheel;
 	directory: Directory;
-	gatekeeper: Gatekeeper;
+	gatekeeper: TargetDispatcher;
 	budget: RetryBudget;
 	innerRoutes: InnerRoutes;
 	graph: CallGraph;
@@ -53,7 +53,7 @@
 };
 
 /** The way that a request takes, and its place among others, 0 for the most urgent. */
-export type PassageRoute = {
+export type ForwardingRoute = {
 	route: TableRoute;
 	urgency: number;
 	/** It is about to go to a target for the first time. */
@@ -61,7 +61,7 @@
 };
 
 /** Where a passage ends; one of the two is called, once. */
-export type PassageEnd = {
+export type ForwardingCallbacks = {
 	answer: (final: FinalAnswer) => void;
 	/** The caller has gone. */
 	onLeft: () => void;
@@ -80,11 +80,11 @@
 const leastTimeToRetry = 20;
 
 /** One request's way through the entry. */
-export function createPassage(
-	options: PassageOptions,
+export function forwardRequest(
+	options: ForwardingOptions,
 	request: CallerRequest,
-	{route, urgency, onAdmitted}: PassageRoute,
-	end: PassageEnd,
+	{route, urgency, onAdmitted}: ForwardingRoute,
+	end: ForwardingCallbacks,
 ): () => void {
 	const {clock, random, wheel, directory, gatekeeper, budget} = options;
 	const {innerRoutes, pressure, reporter, metrics} = options;
@@ -102,12 +102,12 @@
 		options.onNewRoute();
 	}
 
-	const report = createPassageReport(options, request, {
+	const report = createForwardingReport(options, request, {
 		route: route.name,
 		service,
 		isInner,
 	});
-	const repeatShareOfCall = isInner ? gatekeeper.noteCall(route.name) : 0;
+	const repeatShareOfCall = isInner ? gatekeeper.recordCall(route.name) : 0;
 	const tried = new Set<string>();
 	/** Targets that got the request. */
 	let arrivals = 0;
@@ -254,7 +254,7 @@
 	const createHanded = (
 		timeLeft: number,
 		knownCrashes: number,
-	): HandedRequest => ({
+	): ForwardedRequest => ({
 		requestId: request.requestId,
 		method: request.method,
 		path: request.path,
--- a/packages/mesh/src/request-parts.ts
+++ b/packages/mesh/src/request-parts.ts
@@ -1,6 +1,6 @@
 /** The parts of a request on its way that a repeat of it shares. */
 import type {RequestParts} from '@egretspoke/quarantine';
-import type {HandedRequest} from './exchange.js';
+import type {ForwardedRequest} from './exchange.js';
 import {findHeader, type HeaderNames} from './header-names.js';
 
 const noBody = new Uint8Array();
@@ -12,7 +12,7 @@
 		path,
 		headers,
 		body,
-	}: Pick<HandedRequest, 'method' | 'path' | 'headers' | 'body'>,
+	}: Pick<ForwardedRequest, 'method' | 'path' | 'headers' | 'body'>,
 	{workspace}: Pick<HeaderNames, 'workspace'>,
 ): RequestParts {
 	return {
--- a/packages/mesh/src/route-pressure.ts
+++ b/packages/mesh/src/route-pressure.ts
@@ -39,7 +39,7 @@
 };
 
 /** Milliseconds between two refreshes. */
-export const pressurePeriod = 600;
+export const pressureRefreshInterval = 600;
 /** Milliseconds for which the levels are taken as they were. */
 const levelLife = 50;
 /** The part of the counted requests that each period leaves: some ten seconds count. */
--- a/packages/mesh/src/suspects.ts
+++ b/packages/mesh/src/suspects.ts
@@ -9,7 +9,7 @@
 	type Suspect,
 } from '@egretspoke/quarantine';
 import type {Clock} from '@egretspoke/shared';
-import type {HandedRequest} from './exchange.js';
+import type {ForwardedRequest} from './exchange.js';
 import type {Gossip} from './gossip.js';
 import type {HeaderNames} from './header-names.js';
 import type {MeshReporter} from './mesh-reporter.js';
@@ -30,7 +30,7 @@
 };
 
 /** The parts of a request by which it is known. */
-type KnownRequest = Pick<HandedRequest, 'method' | 'path' | 'headers' | 'body'>;
+type KnownRequest = Pick<ForwardedRequest, 'method' | 'path' | 'headers' | 'body'>;
 
 /** The quarantine. */
 export type Suspects = Pick<Quarantine, 'noteCrash'> & {
--- a/packages/mesh/src/target-client.ts
+++ b/packages/mesh/src/target-client.ts
@@ -9,7 +9,7 @@
  */
 import {Buffer} from 'node:buffer';
 import type {Dispatcher} from 'undici';
-import type {HandedRequest, Outcome, RefusalReason} from './exchange.js';
+import type {ForwardedRequest, Outcome, RefusalReason} from './exchange.js';
 import {keepEndToEnd, type HeaderNames} from './header-names.js';
 import {
 	createTargetConnections,
@@ -26,7 +26,7 @@
 /** Calls one target. */
 export type TargetClient = {
 	run(
-		request: HandedRequest,
+		request: ForwardedRequest,
 		timeLeft: number,
 		onOutcome: (outcome: Outcome) => void,
 	): () => void;
@@ -87,7 +87,7 @@
 const noHeaders: ReadonlySet<string> = new Set();
 
 function createExchange(
-	request: HandedRequest,
+	request: ForwardedRequest,
 	{headerNames, onReplaced, onUnreachable}: TargetClientOptions,
 	connection: TargetConnection,
 	onOutcome: (outcome: Outcome) => void,
--- a/packages/mesh/src/target-dispatcher.ts
+++ b/packages/mesh/src/target-dispatcher.ts
@@ -27,7 +27,7 @@
 import {
 	isConnectionLoss,
 	isTargetFailure,
-	type HandedRequest,
+	type ForwardedRequest,
 	type Outcome,
 	type OutcomeHandler,
 	type RefusalReason,
@@ -41,10 +41,10 @@
 import {createTargetAccess} from './target-access.js';
 import {createTargetLevels} from './target-levels.js';
 import type {TargetRecord} from './target-record.js';
-import {startTargetRun, wayBack, type TargetRun} from './target-run.js';
+import {startTargetRun, responseMargin, type TargetRun} from './target-run.js';
 
 /** What a gatekeeper needs. */
-export type GatekeeperOptions = {
+export type TargetDispatcherOptions = {
 	clock: Clock;
 	wheel: DeadlineWheel;
 	headerNames: HeaderNames;
@@ -62,7 +62,7 @@
 };
 
 /** The only way to the target beside this node. */
-export type Gatekeeper = TargetChannel & {
+export type TargetDispatcher = TargetChannel & {
 	/** Takes what is believed of the target now. */
 	setTarget(record: TargetRecord | undefined): void;
 	/** Whether a request for the service would be considered. */
@@ -70,12 +70,12 @@
 	/** Refuses everything from now on, since the node stops. */
 	stop(): void;
 	/** The target makes a call to the route; gives the share, from 0 to 1, of its work that is a repeat. */
-	noteCall(route: string): number;
+	recordCall(route: string): number;
 	load(): TargetLoad;
 	/** Closes the connections to the target. */
 	close(): void;
 	/** Requests that run or wait. */
-	held(): number;
+	openRequests(): number;
 	readings(): Pick<
 		MeshReadings,
 		'inFlight' | 'waiting' | 'limit' | 'shedLevel'
@@ -96,7 +96,7 @@
 };
 
 /** Creates a gatekeeper without a target. */
-export function createGatekeeper(options: GatekeeperOptions): Gatekeeper {
+export function createTargetDispatcher(options: TargetDispatcherOptions): TargetDispatcher {
 	const {clock, wheel, metrics, suspects} = options;
 	const isolation = createIsolation<Job>();
 	const levels = createTargetLevels(options.policy);
@@ -181,7 +181,7 @@
 		const now = clock.now();
 		const runGate = gate;
 		const client = access.client();
-		if (job.until - now - wayBack < 1 || !client) {
+		if (job.until - now - responseMargin < 1 || !client) {
 			gate.finish(undefined);
 			refuse(job, client ? 'noTimeLeft' : 'noTarget');
 			return;
@@ -454,7 +454,7 @@
 				giveUp(job);
 			};
 		},
-		noteCall(route) {
+		recordCall(route) {
 			profile.noteCall(route);
 			return offers.noteCall();
 		},
@@ -462,7 +462,7 @@
 		close() {
 			access.close();
 		},
-		held: () => gate.running() + gate.waiting() + isolation.waiting(),
+		openRequests: () => gate.running() + gate.waiting() + isolation.waiting(),
 		readings: () => ({
 			inFlight: gate.running(),
 			waiting: gate.waiting(),
--- a/packages/mesh/src/target-record.ts
+++ b/packages/mesh/src/target-record.ts
@@ -43,7 +43,7 @@
 	| {kind: 'changed'; record: TargetRecord};
 
 /** Whether two announcements are of one start of one target. */
-export function isSameStart(left: Announcement, right: Announcement): boolean {
+export function isSameIncarnation(left: Announcement, right: Announcement): boolean {
 	return left.startedAt === right.startedAt && left.targetId === right.targetId;
 }
 
@@ -51,7 +51,7 @@
 const unknownPart = 'unknown';
 
 /** Takes an announcement. */
-export function takeAnnouncement(
+export function applyAnnouncement(
 	known: TargetRecord | undefined,
 	announcement: Announcement,
 ): RecordChange {
@@ -59,7 +59,7 @@
 		return {kind: 'changed', record: {...announcement, hasLeft: false}};
 	}
 
-	if (!isSameStart(known, announcement)) {
+	if (!isSameIncarnation(known, announcement)) {
 		return {kind: 'stale'};
 	}
 
@@ -88,7 +88,7 @@
  * target yet; a farewell that reaches it then is kept as of this time, so that
  * an announcement from before it is not believed afterwards.
  */
-export function takeWithdrawal(
+export function applyWithdrawal(
 	known: TargetRecord | undefined,
 	withdrawal: Withdrawal,
 	now: number,
--- a/packages/mesh/src/target-run.ts
+++ b/packages/mesh/src/target-run.ts
@@ -5,7 +5,7 @@
  */
 import type {Clock} from '@egretspoke/shared';
 import type {DeadlineWheel} from './deadline-wheel.js';
-import type {HandedRequest, Outcome} from './exchange.js';
+import type {ForwardedRequest, Outcome} from './exchange.js';
 import type {TargetClient} from './target-client.js';
 
 /** What a run needs. */
@@ -13,7 +13,7 @@
 	clock: Clock;
 	wheel: DeadlineWheel;
 	client: TargetClient;
-	request: HandedRequest;
+	request: ForwardedRequest;
 	/** The instant at which the caller has its final answer. */
 	until: number;
 	/** The target declined it; whether it may be offered once more. */
@@ -37,7 +37,7 @@
 };
 
 /** Milliseconds for an answer to get back to the caller before its time is over. */
-export const wayBack = 8;
+export const responseMargin = 8;
 /** Milliseconds after the end of a request's time until a target that has not stopped is cut off. */
 const overtime = 100;
 /**
@@ -78,7 +78,7 @@
 
 	const offer = () => {
 		const offeredAt = clock.now();
-		const timeLeft = until - offeredAt - wayBack;
+		const timeLeft = until - offeredAt - responseMargin;
 		cancelOffer = client.run(request, timeLeft, (outcome) => {
 			options.onOffer(outcome);
 			if (outcome.kind === 'declined' && !isFreed && options.mayOfferAgain()) {
--- a/packages/mesh/src/target-tracker.ts
+++ b/packages/mesh/src/target-tracker.ts
@@ -1,12 +1,12 @@
 /** What this node believes of the target beside it, and whom it tells when that changes. */
 import type {Clock} from '@egretspoke/shared';
-import type {Gatekeeper} from './target-dispatcher.js';
+import type {TargetDispatcher} from './target-dispatcher.js';
 import type {MeshReporter} from './mesh-reporter.js';
 import type {TargetState} from './peer-message.js';
 import {
-	isSameStart,
-	takeAnnouncement,
-	takeWithdrawal,
+	isSameIncarnation,
+	applyAnnouncement,
+	applyWithdrawal,
 	type Announcement,
 	type RecordChange,
 	type TargetRecord,
@@ -14,32 +14,32 @@
 } from './target-record.js';
 
 /** What the belief needs. */
-export type TargetBeliefOptions = {
+export type TargetTrackerOptions = {
 	clock: Clock;
-	gatekeeper: Pick<Gatekeeper, 'setTarget'>;
+	dispatcher: Pick<TargetDispatcher, 'setTarget'>;
 	reporter: MeshReporter;
 	/** Keeps a leaving beyond the life of this process. */
-	keepLeaving: (record: TargetRecord) => Promise<void>;
+	persistLeaving: (record: TargetRecord) => Promise<void>;
 	/** The other nodes have to know. */
 	onChange: () => void;
 };
 
 /** The belief. */
-export type TargetBelief = {
+export type TargetTracker = {
 	/** Takes what the target says of itself; false when a later start is known. */
 	announce(announcement: Announcement): Promise<boolean>;
 	/** Takes a target's farewell; false when it is none of the known target's. */
 	withdraw(withdrawal: Withdrawal): Promise<boolean>;
 	/** Takes the leaving that an earlier start of this node acknowledged. */
-	takeEarlierLeaving(record: TargetRecord): void;
+	restoreLeaving(record: TargetRecord): void;
 	setReachable(isReachable: boolean): void;
 	/** What the other nodes are told; undefined while no target is known. */
 	state(): TargetState | undefined;
 };
 
 /** Creates the belief that there is no target. */
-export function createTargetBelief(options: TargetBeliefOptions): TargetBelief {
-	const {clock, gatekeeper, reporter, onChange} = options;
+export function createTargetTracker(options: TargetTrackerOptions): TargetTracker {
+	const {clock, dispatcher: gatekeeper, reporter, onChange} = options;
 	let target: TargetRecord | undefined;
 	let isReachable = true;
 
@@ -75,7 +75,7 @@
 
 		const {record} = change;
 		const isKept =
-			target !== undefined && isSameStart(target, record) && target.isLeaving;
+			target !== undefined && isSameIncarnation(target, record) && target.isLeaving;
 		if (change.kind === 'changed') {
 			setTarget(record);
 		} else {
@@ -83,7 +83,7 @@
 		}
 
 		if (record.isLeaving && !isKept) {
-			await options.keepLeaving(record);
+			await options.persistLeaving(record);
 		}
 
 		return true;
@@ -91,10 +91,10 @@
 
 	return {
 		announce: async (announcement) =>
-			take(takeAnnouncement(target, announcement)),
+			take(applyAnnouncement(target, announcement)),
 		withdraw: async (withdrawal) =>
-			take(takeWithdrawal(target, withdrawal, clock.date().getTime())),
-		takeEarlierLeaving(record) {
+			take(applyWithdrawal(target, withdrawal, clock.date().getTime())),
+		restoreLeaving(record) {
 			if (!target || target.startedAt < record.startedAt) {
 				setTarget(record);
 			} else if (target.startedAt === record.startedAt && !target.isLeaving) {
