--- a/packages/mesh/__tests__/quota-fleet.ts
+++ b/packages/mesh/__tests__/quota-fleet.ts
@@ -85,7 +85,7 @@
 			directory: () => ({
 				members: () => members.filter((other) => other !== member),
 				isLinked: (to) => isLinked(member, to),
-				tell(to, message) {
+				send(to, message) {
 					deliver(node, to, message);
 				},
 			}),
--- a/packages/mesh/__tests__/shed-order.spec.ts
+++ b/packages/mesh/__tests__/shed-order.spec.ts
@@ -147,11 +147,11 @@
 		};
 
 		for (let request = 0; request < 10; request++) {
-			pressure.noteRequest(workOf('page', 'panel'));
+			pressure.recordRequest(workOf('page', 'panel'));
 		}
 
-		pressure.noteRequest(workOf('command', 'device'));
-		pressure.noteRequest(workOf('download', 'archive'));
+		pressure.recordRequest(workOf('command', 'device'));
+		pressure.recordRequest(workOf('download', 'archive'));
 		pressure.refresh();
 		return {graph, pressure, setLevels};
 	};
@@ -279,7 +279,7 @@
 			levels: () => new Map([['device', 0.4]]),
 		});
 		const work = workOf('page', 'panel');
-		pressure.noteRequest(work);
+		pressure.recordRequest(work);
 		expect(pressure.shareRefused(work)).to.equal(0.4);
 	});
 });
--- a/packages/mesh/src/caller-listener.ts
+++ b/packages/mesh/src/caller-listener.ts
@@ -16,7 +16,7 @@
 import {
 	findHeader,
 	findOnlyHeader,
-	keepEndToEnd,
+	filterEndToEnd,
 	type HeaderNames,
 } from './header-names.js';
 import {listenOn} from './listening.js';
@@ -166,7 +166,7 @@
 		const leaves = open.get(request.socket);
 		const raw = request.rawHeaders;
 		const timeLeft = Number(findHeader(raw, headerNames.timeLeft));
-		const headers = keepEndToEnd(
+		const headers = filterEndToEnd(
 			raw,
 			options.hasWorkspaces() ? droppedWithKey : dropped,
 		);
--- a/packages/mesh/src/crash-report.ts
+++ b/packages/mesh/src/crash-report.ts
@@ -22,12 +22,12 @@
 	reporter: MeshReporter;
 	metrics: Pick<MeshMetrics, 'targetCrashed'>;
 	/** Takes the runs; gives what is known now of the suspects that they changed. */
-	noteCrash: (runs: CrashedRun[]) => Suspect[];
+	recordCrash: (runs: CrashedRun[]) => Suspect[];
 };
 
 /** Notes a crash with the runs that come under suspicion, and tells of each. */
 export function reportCrash(
-	{clock, headerNames, reporter, metrics, noteCrash}: CrashReportOptions,
+	{clock, headerNames, reporter, metrics, recordCrash: noteCrash}: CrashReportOptions,
 	runs: WatchedRun[],
 	lost: number,
 ): void {
--- a/packages/mesh/src/directory.ts
+++ b/packages/mesh/src/directory.ts
@@ -58,7 +58,7 @@
 	/** Takes members; links are opened to those that the subsets want. */
 	addMembers(members: Member[], source: MemberSource): void;
 	/** A member said hello: it is there, whatever was believed of it. */
-	noteHello(member: Member): void;
+	recordHello(member: Member): void;
 	/** Targets of the service that may be chosen, other than the one beside this node. */
 	candidates(service: string, tried: ReadonlySet<string>): TargetCandidate[];
 	/** The services of the linked targets, each with the mean of their shed levels. */
@@ -70,9 +70,9 @@
 	/** Whether the link to the node can be used. */
 	isLinked(node: string): boolean;
 	/** Tells a linked node. */
-	tell(node: string, message: PeerMessage): void;
+	send(node: string, message: PeerMessage): void;
 	/** Tells one linked node, drawn at random. */
-	tellOne(message: PeerMessage): void;
+	sendToRandomPeer(message: PeerMessage): void;
 	/** How many nodes there are, this one counted. */
 	size(): number;
 	/** Nodes whose links can be used. */
@@ -80,7 +80,7 @@
 	/** The same, with their links. */
 	linked(): Array<Pick<Peer, 'member' | 'link'>>;
 	/** Tells every linked node. */
-	tellAll(message: PeerMessage): void;
+	broadcast(message: PeerMessage): void;
 	close(): void;
 };
 
@@ -201,7 +201,7 @@
 	ticker.schedule(probePeriod, links.probe);
 	return {
 		addMembers,
-		noteHello(member) {
+		recordHello(member) {
 			addMembers([member], 'peer');
 			wantedMembers.noteAlive(member.node);
 			peers.get(member.node)?.link.retryNow();
@@ -245,14 +245,14 @@
 			})),
 		members: known.all,
 		isLinked: (node) => peers.get(node)?.link.isUsable() ?? false,
-		tell(node, message) {
+		send(node, message) {
 			peers.get(node)?.link.tell(message);
 		},
-		tellOne: links.tellOne,
+		sendToRandomPeer: links.tellOne,
 		size: () => known.size() + 1,
 		connected: () => links.usable().length,
 		linked: links.usable,
-		tellAll: links.tellAll,
+		broadcast: links.tellAll,
 		close() {
 			news.close();
 			links.close();
--- a/packages/mesh/src/header-names.ts
+++ b/packages/mesh/src/header-names.ts
@@ -40,7 +40,7 @@
  *
  * @param dropped - Lower-case names that this hop sets itself.
  */
-export function keepEndToEnd(
+export function filterEndToEnd(
 	headers: string[],
 	dropped: ReadonlySet<string>,
 ): string[] {
--- a/packages/mesh/src/mesh-node.ts
+++ b/packages/mesh/src/mesh-node.ts
@@ -134,8 +134,8 @@
 		self,
 		isStopping: () => isStopping,
 		follower: () => follower,
-		belief: () => belief,
-		gatekeeper: () => gatekeeper,
+		belief: () => targetTracker,
+		gatekeeper: () => dispatcher,
 		innerRoutes,
 		profile,
 	});
@@ -143,7 +143,7 @@
 	const tellVersion = () => {
 		const configuration = follower.current();
 		if (configuration) {
-			directory.tellOne({kind: 'version', version: configuration.version});
+			directory.sendToRandomPeer({kind: 'version', version: configuration.version});
 		}
 	};
 
@@ -156,14 +156,14 @@
 		headerNames,
 		reporter,
 		tellAll(message) {
-			directory.tellAll(message);
+			directory.broadcast(message);
 			peerListener.tellAll(message);
 		},
 		gossip: () => suspectNews,
 		register: () => suspectRegister,
 	});
 
-	const gatekeeper = createTargetDispatcher({
+	const dispatcher = createTargetDispatcher({
 		clock,
 		wheel,
 		headerNames,
@@ -174,7 +174,7 @@
 		suspects,
 		profile,
 		onReachable(reachable) {
-			belief.setReachable(reachable);
+			targetTracker.setReachable(reachable);
 		},
 	});
 	const follower = createConfigurationFollower({
@@ -192,7 +192,7 @@
 		onTaken(configuration) {
 			routes = createRouteTable(configuration);
 			callerListener.applyLimits(configuration.limits);
-			directory.tellAll({kind: 'version', version: configuration.version});
+			directory.broadcast({kind: 'version', version: configuration.version});
 		},
 	});
 
@@ -200,7 +200,7 @@
 		clock,
 		follower,
 		onHello(member) {
-			directory.noteHello(member);
+			directory.recordHello(member);
 		},
 		onMembers(members) {
 			directory.addMembers(members, 'peer');
@@ -252,7 +252,7 @@
 	});
 	const peerListener = createPeerListener({
 		clock,
-		gatekeeper,
+		gatekeeper: dispatcher,
 		greet: () => [
 			ownNews.hello(),
 			ownNews.state(),
@@ -284,7 +284,7 @@
 		policy,
 		levels() {
 			const levels = directory.shedLevels();
-			const {shedLevel} = gatekeeper.load();
+			const {shedLevel} = dispatcher.load();
 			levels.set(
 				settings.service,
 				Math.max(shedLevel, levels.get(settings.service) ?? 0),
@@ -292,7 +292,7 @@
 			return levels;
 		},
 	});
-	const learning = createProfileUpdates({
+	const profileUpdates = createProfileUpdates({
 		clock,
 		ticker,
 		signal: life.signal,
@@ -301,7 +301,7 @@
 		onLearnt() {
 			graph.take(self.node, settings.service, profile.profiles());
 		},
-		tell() {
+		announce() {
 			peerListener.tellAll(ownNews.profiles());
 		},
 	});
@@ -319,7 +319,7 @@
 		quotas,
 		headerNames,
 		directory,
-		gatekeeper,
+		dispatcher: dispatcher,
 		budget: createRetryBudget(settings.retryBudget, random.fork()),
 		policy,
 		innerRoutes,
@@ -353,13 +353,13 @@
 			directory.addMembers(members, 'store');
 		},
 		onEarlierLeaving(record) {
-			belief.restoreLeaving(record);
+			targetTracker.restoreLeaving(record);
 		},
 	});
 
-	const belief = createTargetTracker({
+	const targetTracker = createTargetTracker({
 		clock,
-		dispatcher: gatekeeper,
+		dispatcher: dispatcher,
 		reporter,
 		persistLeaving: async (record) => register.keepLeaving(record),
 		onChange: tellState,
@@ -368,7 +368,7 @@
 	const reportLoad = createLoadReport({
 		clock,
 		signal: life.signal,
-		load: () => gatekeeper.load(),
+		load: () => dispatcher.load(),
 		listeners: () => peerListener.links(),
 		report(load) {
 			peerListener.tellAll({kind: 'load', load});
@@ -387,7 +387,7 @@
 			void suspectRegister.run(life.signal);
 			ticker.schedule(versionPeriod, tellVersion);
 			reportLoad.start();
-			learning.start();
+			profileUpdates.start();
 			quotas.start(ticker);
 			suspects.start(ticker);
 			reporter.notice('meshStarted', {
@@ -399,10 +399,10 @@
 			return {callers, peers};
 		},
 		isReady: () => routes !== undefined && !isStopping,
-		announce: async (announcement) => belief.announce(announcement),
-		withdraw: async (withdrawal) => belief.withdraw(withdrawal),
+		announce: async (announcement) => targetTracker.announce(announcement),
+		withdraw: async (withdrawal) => targetTracker.withdraw(withdrawal),
 		readings: () => ({
-			...gatekeeper.readings(),
+			...dispatcher.readings(),
 			configurationVersion: follower.current()?.version ?? 0,
 			isLeaving: isStopping,
 			openRequests: entry.open(),
@@ -419,14 +419,14 @@
 			reporter.notice('leaving', {reason: 'planned stop'});
 			tellState();
 			clock.setTimer(lastWorkTime, () => {
-				gatekeeper.stop();
+				dispatcher.stop();
 			});
 			callerListener.drain();
 			await waitUntilIdle(clock, settings.grace, () => {
 				callerListener.drain();
-				return entry.open() === 0 && gatekeeper.openRequests() === 0;
+				return entry.open() === 0 && dispatcher.openRequests() === 0;
 			});
-			reporter.notice('drained', {cut: entry.open() + gatekeeper.openRequests()});
+			reporter.notice('drained', {cut: entry.open() + dispatcher.openRequests()});
 			abort();
 		},
 		abort,
@@ -439,7 +439,7 @@
 		callerListener.close();
 		peerListener.close();
 		directory.close();
-		gatekeeper.close();
+		dispatcher.close();
 		store.close();
 	}
 }
--- a/packages/mesh/src/profile-updates.ts
+++ b/packages/mesh/src/profile-updates.ts
@@ -16,7 +16,7 @@
 	/** Something was learnt. */
 	onLearnt: () => void;
 	/** Tells the others what was learnt. */
-	tell: () => void;
+	announce: () => void;
 };
 
 /** Milliseconds between two announcements of profiles, at first and at most; they change most in the first seconds. */
@@ -30,7 +30,7 @@
 		clock,
 		firstPause: firstNewsPause,
 		longestPause: longestNewsPause,
-		tell: options.tell,
+		tell: options.announce,
 	});
 	signal.addEventListener('abort', () => {
 		news.close();
--- a/packages/mesh/src/quota-exchange.ts
+++ b/packages/mesh/src/quota-exchange.ts
@@ -41,7 +41,7 @@
 	clock: Clock;
 	random: Random;
 	self: Member;
-	directory: () => Pick<Directory, 'members' | 'isLinked' | 'tell'>;
+	directory: () => Pick<Directory, 'members' | 'isLinked' | 'send'>;
 	/** Whether the register of members has been read. */
 	isMembershipKnown: () => boolean;
 	workspaces: () => readonly Workspace[];
@@ -157,7 +157,7 @@
 	const reportTo = (allotter: string, uses: QuotaUse[], isFirst: boolean) => {
 		const now = clock.now();
 		if (allotter !== self.node) {
-			directory().tell(allotter, {
+			directory().send(allotter, {
 				kind: 'quotaUse',
 				node: self.node,
 				wantsGrant: isFirst,
@@ -177,7 +177,7 @@
 		const members = directory().members();
 		for (const dataCentre of otherDataCentres()) {
 			for (const allotter of listAllotters(rank(members, dataCentre))) {
-				directory().tell(allotter, {
+				directory().send(allotter, {
 					kind: 'quotaUse',
 					node: self.node,
 					dataCentre: self.dataCentre,
--- a/packages/mesh/src/repeated-offers.ts
+++ b/packages/mesh/src/repeated-offers.ts
@@ -20,13 +20,13 @@
 /** The offers to one target; instants by the steady clock, in milliseconds. */
 export type RepeatedOffers = {
 	/** The target is handed a request. */
-	noteStart(request: ForwardedRequest, now: number): void;
+	recordStart(request: ForwardedRequest, now: number): void;
 	/** What came of one offer. */
-	noteOffer(outcome: Outcome, now: number): void;
+	recordOffer(outcome: Outcome, now: number): void;
 	/** What came of the request in the end. */
-	noteEnd(outcome: Outcome, now: number): void;
+	recordEnd(outcome: Outcome, now: number): void;
 	/** The target makes a call; gives the share, from 0 to 1, of its work that is a repeat. */
-	noteCall(): number;
+	recordCall(): number;
 	/** Takes one more offer of a declined request from the budget; false when none is left. */
 	take(now: number): boolean;
 	/** The share of the latest offers that were declined. */
@@ -45,17 +45,17 @@
 	const declined = createRecentShare();
 	const unserved = createRecentShare();
 	return {
-		noteStart({repeatShare}, now) {
+		recordStart({repeatShare}, now) {
 			budget.countArrival(repeatShare, now);
 			ownCalls.noteRun(repeatShare);
 		},
-		noteOffer({kind}, now) {
+		recordOffer({kind}, now) {
 			declined.note(kind === 'declined', now);
 		},
-		noteEnd({kind}, now) {
+		recordEnd({kind}, now) {
 			unserved.note(kind === 'declined', now);
 		},
-		noteCall() {
+		recordCall() {
 			ownCalls.noteCall();
 			return ownCalls.repeatShare();
 		},
--- a/packages/mesh/src/request-forwarding.ts
+++ b/packages/mesh/src/request-forwarding.ts
@@ -37,7 +37,7 @@
 	random: Random;
 	wheel: DeadlineWheel;
 	directory: Directory;
-	gatekeeper: TargetDispatcher;
+	dispatcher: TargetDispatcher;
 	budget: RetryBudget;
 	innerRoutes: InnerRoutes;
 	graph: CallGraph;
@@ -86,7 +86,7 @@
 	{route, urgency, onAdmitted}: ForwardingRoute,
 	end: ForwardingCallbacks,
 ): () => void {
-	const {clock, random, wheel, directory, gatekeeper, budget} = options;
+	const {clock, random, wheel, directory, dispatcher: gatekeeper, budget} = options;
 	const {innerRoutes, pressure, reporter, metrics} = options;
 	const service = route.rotation.next();
 	const until =
@@ -373,7 +373,7 @@
 
 	budget.countRequest(service, clock.now());
 	if (!isInner) {
-		pressure.noteRequest(work);
+		pressure.recordRequest(work);
 	}
 
 	attempt();
--- a/packages/mesh/src/route-pressure.ts
+++ b/packages/mesh/src/route-pressure.ts
@@ -31,7 +31,7 @@
 /** The pressure on the work that callers ask for at one node. */
 export type RoutePressure = {
 	/** A caller asks for the work. */
-	noteRequest(work: NewWork): void;
+	recordRequest(work: NewWork): void;
 	/** The share of such work that is refused, for the sake of any service that it needs. */
 	shareRefused(work: NewWork): number;
 	/** Forgets a part of what was asked for; to be called in each period. */
@@ -105,7 +105,7 @@
 		!graph.isKnown(route, first);
 
 	return {
-		noteRequest(work) {
+		recordRequest(work) {
 			const kind = kindOf(work);
 			const known = asked.get(kind);
 			if (known) {
--- a/packages/mesh/src/target-access.ts
+++ b/packages/mesh/src/target-access.ts
@@ -13,7 +13,7 @@
 	/** The target can't be reached or has been replaced; true once it answers again. */
 	onReachable: (isReachable: boolean) => void;
 	/** A connection could not be opened. */
-	onRefused: () => void;
+	onConnectionRefused: () => void;
 };
 
 /** The access to one target after the other. */
@@ -28,7 +28,7 @@
 	/** The target has announced itself; the next request shows whether it is reached. */
 	assumeReachable(): void;
 	/** The target has answered. */
-	noteAnswer(): void;
+	recordAnswer(): void;
 	/**
 	 * Opens new connections in place of the idle ones. Connections can go silent
 	 * for good without a reset, all at once; each would cost the request that it
@@ -70,7 +70,7 @@
 
 				markUnreachable(record);
 				if (isCurrent(record)) {
-					options.onRefused();
+					options.onConnectionRefused();
 				}
 			},
 		});
@@ -100,7 +100,7 @@
 		assumeReachable() {
 			isReachable = true;
 		},
-		noteAnswer() {
+		recordAnswer() {
 			if (!isReachable) {
 				isReachable = true;
 				options.onReachable(true);
--- a/packages/mesh/src/target-client.ts
+++ b/packages/mesh/src/target-client.ts
@@ -10,7 +10,7 @@
 import {Buffer} from 'node:buffer';
 import type {Dispatcher} from 'undici';
 import type {ForwardedRequest, Outcome, RefusalReason} from './exchange.js';
-import {keepEndToEnd, type HeaderNames} from './header-names.js';
+import {filterEndToEnd, type HeaderNames} from './header-names.js';
 import {
 	createTargetConnections,
 	type TargetConnection,
@@ -120,7 +120,7 @@
 				: {
 						kind: 'answered',
 						status,
-						headers: keepEndToEnd(headers, noHeaders),
+						headers: filterEndToEnd(headers, noHeaders),
 						body: chunks.length === 1 ? chunks[0]! : Buffer.concat(chunks),
 					},
 		);
@@ -180,7 +180,7 @@
 					return;
 				}
 
-				connection.confirmEnd((wasClosed) => {
+				connection.checkCleanClose((wasClosed) => {
 					connection.release();
 					if (wasClosed) {
 						endWhole();
--- a/packages/mesh/src/target-connections.ts
+++ b/packages/mesh/src/target-connections.ts
@@ -20,7 +20,7 @@
 		handler: Dispatcher.DispatchHandler,
 	): void;
 	/** Says whether its end was an ordinary one; to be asked while it is ending. */
-	confirmEnd(onKnown: (wasClosed: boolean) => void): void;
+	checkCleanClose(onKnown: (wasClosed: boolean) => void): void;
 	/** Its request has ended; it may be used again. */
 	release(): void;
 };
@@ -73,7 +73,7 @@
 			dispatch(options, handler) {
 				client.dispatch(options, handler);
 			},
-			confirmEnd(onKnown) {
+			checkCleanClose(onKnown) {
 				if (isReset || !socket || socket.destroyed) {
 					onKnown(false);
 					return;
--- a/packages/mesh/src/target-dispatcher.ts
+++ b/packages/mesh/src/target-dispatcher.ts
@@ -102,7 +102,7 @@
 	const levels = createTargetLevels(options.policy);
 	const access = createTargetAccess({
 		...options,
-		onRefused() {
+		onConnectionRefused() {
 			watch.refused();
 		},
 	});
@@ -128,7 +128,7 @@
 				}
 
 				const {noteCrash} = suspects;
-				reportCrash({...options, noteCrash}, jobs, lost);
+				reportCrash({...options, recordCrash: noteCrash}, jobs, lost);
 			},
 			probe(onResult) {
 				if (target) {
@@ -198,7 +198,7 @@
 		let lastOffer: Outcome | undefined;
 		const ordinal = runWatch.started();
 		metrics.targetStarted(now - job.offeredAt);
-		offers.noteStart(job.request, now);
+		offers.recordStart(job.request, now);
 		profile.noteRun(job.request.route);
 		job.run = startTargetRun({
 			clock,
@@ -230,7 +230,7 @@
 				startNext();
 			},
 			onOutcome(outcome) {
-				offers.noteEnd(outcome, clock.now());
+				offers.recordEnd(outcome, clock.now());
 				tellRepeats(job, outcome);
 				if (!isConnectionLoss(outcome)) {
 					finishRun(job, outcome);
@@ -245,7 +245,7 @@
 					);
 				});
 			},
-			onSilent() {
+			onUnresponsive() {
 				access.renew();
 			},
 		});
@@ -304,9 +304,9 @@
 			outcome.kind !== 'answered' || isTargetFailure(outcome.status),
 			now,
 		);
-		offers.noteOffer(outcome, now);
+		offers.recordOffer(outcome, now);
 		if (outcome.kind === 'answered') {
-			access.noteAnswer();
+			access.recordAnswer();
 			suspects.noteAnswer(request);
 		}
 	};
@@ -456,7 +456,7 @@
 		},
 		recordCall(route) {
 			profile.noteCall(route);
-			return offers.noteCall();
+			return offers.recordCall();
 		},
 		load,
 		close() {
--- a/packages/mesh/src/target-run.ts
+++ b/packages/mesh/src/target-run.ts
@@ -25,7 +25,7 @@
 	/** What came of the request; not called after a cancel has ended the run. */
 	onOutcome: (outcome: Outcome) => void;
 	/** The target said nothing in all the time that it was given. */
-	onSilent: () => void;
+	onUnresponsive: () => void;
 };
 
 /** A request that the target has. */
@@ -72,7 +72,7 @@
 	const removeGuard = wheel.add(until + overtime, () => {
 		cancelOffer();
 		free(undefined);
-		options.onSilent();
+		options.onUnresponsive();
 		options.onOutcome({kind: 'lost', reason: 'noAnswerInTime'});
 	});
 
