--- a/packages/mesh/src/caller-listener.ts
+++ b/packages/mesh/src/caller-listener.ts
@@ -48,14 +48,14 @@
 };
 
 /** What callers may send before any configuration is known: what Node itself allows. */
-const firstLimits: CallerLimits = {
+const defaultLimits: CallerLimits = {
 	headerBytes: 16 * 1024,
 	bodyBytes: 64 * 1024 * 1024,
 	headerTime: 3000,
 	idleTime: 15_000,
 };
 /** The largest headers that are parsed at all; the configured limit is checked after. */
-const mostHeaderBytes = 256 * 1024;
+const maxParsedHeaderBytes = 256 * 1024;
 
 /** Creates a listener that is not listening yet. */
 export function createCallerListener(
@@ -70,12 +70,12 @@
 	]);
 	/** Without workspaces a key is the application's own. */
 	const droppedWithKey = new Set([...dropped, headerNames.workspaceKey]);
-	let limits = firstLimits;
-	const open = new WeakMap<Socket, Set<() => void>>();
+	let limits = defaultLimits;
+	const leaveHandlersBySocket = new WeakMap<Socket, Set<() => void>>();
 	const server: Server = createServer(
 		{
 			keepAliveTimeout: limits.idleTime,
-			maxHeaderSize: mostHeaderBytes,
+			maxHeaderSize: maxParsedHeaderBytes,
 			noDelay: true,
 		},
 		(request, response) => {
@@ -85,10 +85,10 @@
 	server.requestTimeout = 0;
 	server.headersTimeout = limits.headerTime + limits.idleTime;
 	server.on('connection', (socket) => {
-		const leaves = new Set<() => void>();
-		open.set(socket, leaves);
+		const leaveHandlers = new Set<() => void>();
+		leaveHandlersBySocket.set(socket, leaveHandlers);
 		socket.once('close', () => {
-			for (const leave of leaves) {
+			for (const leave of leaveHandlers) {
 				leave();
 			}
 		});
@@ -99,7 +99,7 @@
 			socket.writable &&
 			!socket.destroyed &&
 			socket.bytesRead > 0 &&
-			(open.get(socket)?.size ?? 0) === 0
+			(leaveHandlersBySocket.get(socket)?.size ?? 0) === 0
 		) {
 			const status =
 				(error as NodeJS.ErrnoException).code === 'HPE_HEADER_OVERFLOW'
@@ -163,7 +163,7 @@
 		body: Uint8Array | undefined,
 		arrivedAt: number,
 	) => {
-		const leaves = open.get(request.socket);
+		const leaveHandlers = leaveHandlersBySocket.get(request.socket);
 		const raw = request.rawHeaders;
 		const timeLeft = Number(findHeader(raw, headerNames.timeLeft));
 		const headers = filterEndToEnd(
@@ -173,7 +173,7 @@
 		headers.push(headerNames.callerService, options.callerService());
 		// An answer can be given before the way to say that the caller left is known.
 		let isAnswered = false;
-		let forgetLeave = () => undefined as unknown;
+		let removeLeaveHandler = () => undefined as unknown;
 		const leave = options.entry.handle(
 			{
 				requestId: findHeader(raw, headerNames.requestId) ?? '',
@@ -189,13 +189,13 @@
 			},
 			(final) => {
 				isAnswered = true;
-				forgetLeave();
+				removeLeaveHandler();
 				respond(response, final);
 			},
 		);
 		if (!isAnswered) {
-			leaves?.add(leave);
-			forgetLeave = () => leaves?.delete(leave);
+			leaveHandlers?.add(leave);
+			removeLeaveHandler = () => leaveHandlers?.delete(leave);
 		}
 	};
 
--- a/packages/mesh/src/crash-report.ts
+++ b/packages/mesh/src/crash-report.ts
@@ -27,7 +27,13 @@
 
 /** Notes a crash with the runs that come under suspicion, and tells of each. */
 export function reportCrash(
-	{clock, headerNames, reporter, metrics, recordCrash: noteCrash}: CrashReportOptions,
+	{
+		clock,
+		headerNames,
+		reporter,
+		metrics,
+		recordCrash: noteCrash,
+	}: CrashReportOptions,
 	runs: WatchedRun[],
 	lost: number,
 ): void {
--- a/packages/mesh/src/directory.ts
+++ b/packages/mesh/src/directory.ts
@@ -85,7 +85,7 @@
 };
 
 /** Milliseconds between two looks at the subsets. */
-const subsetPeriod = 600;
+const subsetRefreshInterval = 600;
 
 /** Creates a directory that knows nobody. */
 export function createDirectory(options: DirectoryOptions): Directory {
@@ -96,7 +96,7 @@
 		random,
 		hello: options.hello,
 		onMessage(peer, message) {
-			const handle = handlers[message.kind] ?? receiveNews;
+			const handle = handlers[message.kind] ?? deliverMessage;
 			handle(peer, message as never);
 		},
 		onMalformed: options.onMalformed,
@@ -110,7 +110,12 @@
 		peers,
 		pinned: options.pinned,
 	});
-	const news = createMemberNews({clock, random, self, links: links.usable});
+	const memberGossip = createMemberNews({
+		clock,
+		random,
+		self,
+		links: links.usable,
+	});
 
 	/** An address may belong to another node by now, which then answers in its place. */
 	const checkIdentity = (peer: Peer, found: Member): boolean => {
@@ -144,12 +149,12 @@
 		},
 		hello(peer, message) {
 			if (checkIdentity(peer, message.member)) {
-				receiveNews(peer, message);
+				deliverMessage(peer, message);
 			}
 		},
 	};
 
-	const receiveNews = (peer: Peer, message: PeerMessage) => {
+	const deliverMessage = (peer: Peer, message: PeerMessage) => {
 		options.onMessage(message, (reply) => {
 			peer.link.tell(reply);
 		});
@@ -175,7 +180,7 @@
 			}
 
 			if (source === 'peer') {
-				news.add(member);
+				memberGossip.add(member);
 			}
 		}
 
@@ -197,7 +202,7 @@
 		links.keep(wanted);
 	};
 
-	ticker.schedule(subsetPeriod, refresh);
+	ticker.schedule(subsetRefreshInterval, refresh);
 	ticker.schedule(probePeriod, links.probe);
 	return {
 		addMembers,
@@ -254,7 +259,7 @@
 		linked: links.usable,
 		broadcast: links.tellAll,
 		close() {
-			news.close();
+			memberGossip.close();
 			links.close();
 		},
 	};
--- a/packages/mesh/src/entry.ts
+++ b/packages/mesh/src/entry.ts
@@ -63,12 +63,12 @@
 function handleRequest(
 	options: EntryOptions,
 	request: CallerRequest,
-	end: ForwardingCallbacks,
+	callbacks: ForwardingCallbacks,
 ): () => void {
 	const admission = admit(options, request);
 	if (admission.kind === 'rejected') {
 		reject(options, request, admission);
-		end.answer(admission.answer);
+		callbacks.answer(admission.answer);
 		return () => undefined;
 	}
 
@@ -83,7 +83,12 @@
 		}
 	};
 
-	return forwardRequest(options, request, {route, urgency, onAdmitted}, end);
+	return forwardRequest(
+		options,
+		request,
+		{route, urgency, onAdmitted},
+		callbacks,
+	);
 }
 
 function admit(
@@ -114,8 +119,8 @@
 	}
 
 	if (!quotas.allows(workspace)) {
-		const back = quotas.returnTime(workspace);
-		return refuse(route.name, 429, 'quotaExceeded', back);
+		const retryAfter = quotas.returnTime(workspace);
+		return refuse(route.name, 429, 'quotaExceeded', retryAfter);
 	}
 
 	const urgency = routes.urgencyOf(route, workspace);
--- a/packages/mesh/src/forwarding-report.ts
+++ b/packages/mesh/src/forwarding-report.ts
@@ -9,7 +9,11 @@
 import type {MeshReporter} from './mesh-reporter.js';
 
 /** What was known when the request came in. */
-export type ForwardingFacts = {route: string; service: string; isInner: boolean};
+export type ForwardingFacts = {
+	route: string;
+	service: string;
+	isInner: boolean;
+};
 
 /** What had become of it at its end. */
 export type ForwardingAttempts = {
@@ -25,13 +29,13 @@
 
 /** Tells the end of one request; one of the two is called, once. */
 export type ForwardingReport = {
-	answered(final: FinalAnswer, tries: ForwardingAttempts): void;
+	answered(final: FinalAnswer, attempts: ForwardingAttempts): void;
 	/** The caller has gone. */
 	left(): void;
 };
 
 /** The least status that tells of a failure on the target's side (RFC 9110, section 15.6). */
-const leastFailureStatus = 500;
+const minServerErrorStatus = 500;
 
 /** Creates the report of a request that has just come in. */
 export function createForwardingReport(
@@ -65,7 +69,7 @@
 			};
 			if (final.kind === 'own') {
 				reporter.decision('meshOwnAnswer', requestId, final.reason, details);
-			} else if (final.status >= leastFailureStatus) {
+			} else if (final.status >= minServerErrorStatus) {
 				reporter.decision('meshTargetFailed', requestId, 'targetFailed', {
 					...details,
 					from: answeredBy === localNode ? 'own' : answeredBy,
--- a/packages/mesh/src/graceful-shutdown.ts
+++ b/packages/mesh/src/graceful-shutdown.ts
@@ -5,11 +5,11 @@
  * Milliseconds that a stopping node goes on at least: callers' balancers ask
  * every second and take a node out after two misses.
  */
-const leastStopTime = 2500;
+const minStopDuration = 2500;
 /** Milliseconds before the end of the grace at which what is left is cut. */
 const stopReserve = 500;
 /** Milliseconds between two looks at what is still in flight. */
-const stopLookPeriod = 50;
+const idleCheckInterval = 50;
 
 /**
  * Resolves when nothing is in flight any more, or shortly before the grace is
@@ -21,17 +21,20 @@
 export async function waitUntilIdle(
 	clock: Clock,
 	grace: number,
-	look: () => boolean,
+	checkIdle: () => boolean,
 ): Promise<void> {
-	const since = clock.now();
+	const beganAt = clock.now();
 	await new Promise<void>((resolve) => {
 		const check = () => {
-			const time = clock.now() - since;
-			const isIdle = look();
-			if ((isIdle && time >= leastStopTime) || time >= grace - stopReserve) {
+			const elapsed = clock.now() - beganAt;
+			const isIdle = checkIdle();
+			if (
+				(isIdle && elapsed >= minStopDuration) ||
+				elapsed >= grace - stopReserve
+			) {
 				resolve();
 			} else {
-				clock.setTimer(stopLookPeriod, check);
+				clock.setTimer(idleCheckInterval, check);
 			}
 		};
 
--- a/packages/mesh/src/listening.ts
+++ b/packages/mesh/src/listening.ts
@@ -17,6 +17,6 @@
 	const host = address.slice(0, colon);
 	server.listen(Number(address.slice(colon + 1)), host, backlog);
 	await once(server, 'listening');
-	const got = server.address();
-	return typeof got === 'object' && got ? `${host}:${got.port}` : address;
+	const bound = server.address();
+	return typeof bound === 'object' && bound ? `${host}:${bound.port}` : address;
 }
--- a/packages/mesh/src/load-report.ts
+++ b/packages/mesh/src/load-report.ts
@@ -14,11 +14,11 @@
 };
 
 /** Milliseconds between two reports of a changed load to all listeners, for each of them: 50 hear every 400 ms. */
-const reportTimePerPeer = 8;
+const reportIntervalPerListener = 8;
 /** The change of occupancy that is worth a report. */
-const reportedChange = 0.2;
+const minReportedChange = 0.2;
 /** The change of the shed level that is; what it refuses follows it at once. */
-const reportedLevelChange = 0.04;
+const minReportedLevelChange = 0.04;
 /** The occupancy below which a target has room in any case; changes there are told by its outcomes only. */
 const busyOccupancy = 0.5;
 
@@ -26,33 +26,33 @@
 export function createLoadReport(options: LoadReportOptions): {start(): void} {
 	const {clock, signal, listeners, report} = options;
 	let reported = idleLoad;
-	const look = () => {
+	const check = () => {
 		if (signal.aborted) {
 			return;
 		}
 
 		const load = options.load();
-		if (isWorthTelling(load, reported)) {
+		if (isSignificantChange(load, reported)) {
 			reported = load;
 			report(load);
 		}
 
-		clock.setTimer(reportTimePerPeer * Math.max(1, listeners()), look);
+		clock.setTimer(reportIntervalPerListener * Math.max(1, listeners()), check);
 	};
 
-	return {start: look};
+	return {start: check};
 }
 
-function isWorthTelling(load: TargetLoad, reported: TargetLoad): boolean {
+function isSignificantChange(load: TargetLoad, reported: TargetLoad): boolean {
 	const isBusy = Math.max(load.occupancy, reported.occupancy) >= busyOccupancy;
 	const isChanged = (
 		kind: 'occupancy' | 'shedLevel' | 'failureShare',
-		least: number,
-	) => Math.abs(load[kind] - reported[kind]) >= least;
+		threshold: number,
+	) => Math.abs(load[kind] - reported[kind]) >= threshold;
 	return (
-		isChanged('shedLevel', reportedLevelChange) ||
+		isChanged('shedLevel', minReportedLevelChange) ||
 		(load.shedLevel === 0 && reported.shedLevel > 0) ||
-		isChanged('failureShare', reportedChange) ||
-		(isBusy && isChanged('occupancy', reportedChange))
+		isChanged('failureShare', minReportedChange) ||
+		(isBusy && isChanged('occupancy', minReportedChange))
 	);
 }
--- a/packages/mesh/src/local-candidate.ts
+++ b/packages/mesh/src/local-candidate.ts
@@ -7,10 +7,10 @@
 
 /** Its state as of now; it is doubtful while this node stops. */
 export function createLocalCandidate(
-	gatekeeper: TargetDispatcher,
+	dispatcher: TargetDispatcher,
 	isDoubtful: boolean,
 ): TargetCandidate {
-	const load = gatekeeper.load();
+	const load = dispatcher.load();
 	return {
 		node: localNode,
 		isOwn: true,
@@ -19,7 +19,7 @@
 		failureShare: load.failureShare,
 		runTime: load.runTime,
 		isDoubtful,
-		channel: gatekeeper,
+		channel: dispatcher,
 		note: () => undefined,
 	};
 }
--- a/packages/mesh/src/mesh-node.ts
+++ b/packages/mesh/src/mesh-node.ts
@@ -143,7 +143,10 @@
 	const tellVersion = () => {
 		const configuration = follower.current();
 		if (configuration) {
-			directory.sendToRandomPeer({kind: 'version', version: configuration.version});
+			directory.sendToRandomPeer({
+				kind: 'version',
+				version: configuration.version,
+			});
 		}
 	};
 
@@ -319,7 +322,7 @@
 		quotas,
 		headerNames,
 		directory,
-		dispatcher: dispatcher,
+		dispatcher,
 		budget: createRetryBudget(settings.retryBudget, random.fork()),
 		policy,
 		innerRoutes,
@@ -359,7 +362,7 @@
 
 	const targetTracker = createTargetTracker({
 		clock,
-		dispatcher: dispatcher,
+		dispatcher,
 		reporter,
 		persistLeaving: async (record) => register.keepLeaving(record),
 		onChange: tellState,
@@ -426,7 +429,9 @@
 				callerListener.drain();
 				return entry.open() === 0 && dispatcher.openRequests() === 0;
 			});
-			reporter.notice('drained', {cut: entry.open() + dispatcher.openRequests()});
+			reporter.notice('drained', {
+				cut: entry.open() + dispatcher.openRequests(),
+			});
 			abort();
 		},
 		abort,
--- a/packages/mesh/src/profile-updates.ts
+++ b/packages/mesh/src/profile-updates.ts
@@ -20,27 +20,29 @@
 };
 
 /** Milliseconds between two announcements of profiles, at first and at most; they change most in the first seconds. */
-const firstNewsPause = 900;
-const longestNewsPause = 3000;
+const firstAnnouncementDelay = 900;
+const maxAnnouncementInterval = 3000;
 
 /** Creates the learning, which has not started. */
-export function createProfileUpdates(options: ProfileUpdatesOptions): {start(): void} {
+export function createProfileUpdates(options: ProfileUpdatesOptions): {
+	start(): void;
+} {
 	const {clock, ticker, signal, profile, pressure} = options;
-	const news = createPacedNews({
+	const announcements = createPacedNews({
 		clock,
-		firstPause: firstNewsPause,
-		longestPause: longestNewsPause,
+		firstPause: firstAnnouncementDelay,
+		longestPause: maxAnnouncementInterval,
 		tell: options.announce,
 	});
 	signal.addEventListener('abort', () => {
-		news.close();
+		announcements.close();
 	});
 	return {
 		start() {
 			ticker.schedule(profilePeriod, () => {
 				if (profile.update()) {
 					options.onLearnt();
-					news.note();
+					announcements.note();
 				}
 			});
 			ticker.schedule(pressureRefreshInterval, () => {
--- a/packages/mesh/src/request-forwarding.ts
+++ b/packages/mesh/src/request-forwarding.ts
@@ -22,7 +22,11 @@
 	type RetryBudget,
 } from './decisions/retry-budget.js';
 import type {Directory, TargetCandidate} from './directory.js';
-import {isTargetFailure, type ForwardedRequest, type Outcome} from './exchange.js';
+import {
+	isTargetFailure,
+	type ForwardedRequest,
+	type Outcome,
+} from './exchange.js';
 import type {TargetDispatcher} from './target-dispatcher.js';
 import {createLocalCandidate, localNode} from './local-candidate.js';
 import type {MeshReporter} from './mesh-reporter.js';
@@ -68,25 +72,25 @@
 };
 
 /** Refusals on the way after which the request is refused for good: each costs a hop of its time. */
-const mostRefusals = 3;
+const maxRefusals = 3;
 /** The part of a new request's objective that it may wait for a slot; its work and its calls need the rest. */
-const patienceOfNewWork = 0.25;
+const maxWaitRatioOfNewWork = 0.25;
 /**
  * The same for calls of work that has begun, since giving those up wastes what
  * was done already, and for new work that makes no calls.
  */
-const patienceNearTheEnd = 0.6;
+const maxWaitRatioNearCompletion = 0.6;
 /** Milliseconds below which another attempt has no chance to end in time. */
-const leastTimeToRetry = 20;
+const minTimeToRetry = 20;
 
 /** One request's way through the entry. */
 export function forwardRequest(
 	options: ForwardingOptions,
 	request: CallerRequest,
 	{route, urgency, onAdmitted}: ForwardingRoute,
-	end: ForwardingCallbacks,
+	callbacks: ForwardingCallbacks,
 ): () => void {
-	const {clock, random, wheel, directory, dispatcher: gatekeeper, budget} = options;
+	const {clock, random, wheel, directory, dispatcher, budget} = options;
 	const {innerRoutes, pressure, reporter, metrics} = options;
 	const service = route.rotation.next();
 	const until =
@@ -107,7 +111,7 @@
 		service,
 		isInner,
 	});
-	const repeatShareOfCall = isInner ? gatekeeper.recordCall(route.name) : 0;
+	const repeatShareOfCall = isInner ? dispatcher.recordCall(route.name) : 0;
 	const tried = new Set<string>();
 	/** Targets that got the request. */
 	let arrivals = 0;
@@ -132,7 +136,7 @@
 		isOver = true;
 		removeDeadline();
 		report.answered(final, {arrivals, refusals, answeredBy, shed});
-		end.answer(final);
+		callbacks.answer(final);
 	};
 
 	const removeDeadline = wheel.add(until, () => {
@@ -140,7 +144,7 @@
 		finish({kind: 'own', status: 504, reason: 'timeout'});
 	});
 
-	const objectiveOfReturn = options.policy.has('returnInObjective')
+	const retryAfterObjective = options.policy.has('returnInObjective')
 		? route.objective
 		: Number.POSITIVE_INFINITY;
 	/** Milliseconds until the caller gives up, which may be later than the timeout of the route. */
@@ -164,7 +168,7 @@
 						retryAfter: returnTime(
 							{
 								timeLeft: callerTimeLeft(),
-								objective: objectiveOfReturn,
+								objective: retryAfterObjective,
 								refused: shed,
 							},
 							random.fraction(),
@@ -175,8 +179,8 @@
 
 	const listCandidates = (): TargetCandidate[] => {
 		const candidates = directory.candidates(service, tried);
-		if (!tried.has(localNode) && gatekeeper.serves(service)) {
-			candidates.push(createLocalCandidate(gatekeeper, options.isStopping()));
+		if (!tried.has(localNode) && dispatcher.serves(service)) {
+			candidates.push(createLocalCandidate(dispatcher, options.isStopping()));
 		}
 
 		return candidates;
@@ -237,7 +241,7 @@
 	) => {
 		let isEnded = false;
 		const cancel = target.channel.send(
-			createHanded(timeLeft, knownCrashes),
+			createForwardedRequest(timeLeft, knownCrashes),
 			(outcome, load) => {
 				isEnded = true;
 				target.note(outcome.kind === 'answered' ? 'answered' : 'failed', load);
@@ -251,7 +255,7 @@
 		}
 	};
 
-	const createHanded = (
+	const createForwardedRequest = (
 		timeLeft: number,
 		knownCrashes: number,
 	): ForwardedRequest => ({
@@ -270,7 +274,8 @@
 		priority: urgency,
 		patience: Math.min(
 			timeLeft / 2,
-			route.objective * (isNearItsEnd ? patienceNearTheEnd : patienceOfNewWork),
+			route.objective *
+				(isNearItsEnd ? maxWaitRatioNearCompletion : maxWaitRatioOfNewWork),
 		),
 		timeLeft,
 	});
@@ -282,12 +287,12 @@
 	};
 
 	/** Whether another target may get it, within the attempts of the route and the shared budget. */
-	const takeRetry = (reason: string, node: string): boolean => {
+	const tryTakeRetry = (reason: string, node: string): boolean => {
 		const now = clock.now();
 		const isAllowed =
 			options.policy.mayRetry &&
 			arrivals < route.attempts &&
-			until - now >= leastTimeToRetry &&
+			until - now >= minTimeToRetry &&
 			takeFromBudget(now);
 		if (isAllowed) {
 			metrics.sentAgain(service);
@@ -301,7 +306,7 @@
 	};
 
 	const sendAgain = (reason: string, node: string) => {
-		if (takeRetry(reason, node)) {
+		if (tryTakeRetry(reason, node)) {
 			attempt();
 		} else {
 			giveUp(reason);
@@ -320,11 +325,11 @@
 			const answer: FinalAnswer = {kind: 'target', status, headers, body};
 			// Most failures come from refused calls while load is shed; repeating the
 			// whole tree of calls would only make more of them.
-			const isWorthRepeating =
+			const shouldRetry =
 				isTargetFailure(status) &&
 				route.isIdempotent &&
 				pressure.shareRefused(work) === 0;
-			if (isWorthRepeating && takeRetry('targetFailed', node)) {
+			if (shouldRetry && tryTakeRetry('targetFailed', node)) {
 				failure = answer;
 				attempt();
 			} else {
@@ -336,8 +341,8 @@
 			if (reason === 'quarantined') {
 				refuseQuarantined(options.suspects.lookUp(request));
 			} else if (
-				refusals >= mostRefusals ||
-				until - clock.now() < leastTimeToRetry
+				refusals >= maxRefusals ||
+				until - clock.now() < minTimeToRetry
 			) {
 				giveUp(reason);
 			} else if (reason === 'noRoom' || reason === 'waitedTooLong') {
@@ -383,7 +388,7 @@
 			removeDeadline();
 			cancelAttempt();
 			report.left();
-			end.onLeft();
+			callbacks.onLeft();
 		}
 	};
 }
--- a/packages/mesh/src/route-pressure.ts
+++ b/packages/mesh/src/route-pressure.ts
@@ -41,15 +41,15 @@
 /** Milliseconds between two refreshes. */
 export const pressureRefreshInterval = 600;
 /** Milliseconds for which the levels are taken as they were. */
-const levelLife = 50;
+const levelCacheDuration = 50;
 /** The part of the counted requests that each period leaves: some ten seconds count. */
 const memory = 0.95;
 /** Requests below which a kind is forgotten. */
-const leastRequests = 0.01;
+const minRequests = 0.01;
 
-type Asked = NewWork & {requests: number};
+type RecentWork = NewWork & {requests: number};
 
-type FullService = {service: string; level: number};
+type OverloadedService = {service: string; level: number};
 
 type SlicesByKind = Map<string, ShedSlice[]>;
 
@@ -60,28 +60,31 @@
 	policy,
 	levels,
 }: RoutePressureOptions): RoutePressure {
-	const asked = new Map<string, Asked>();
+	const recentWork = new Map<string, RecentWork>();
 	/** By the service that is full, worked out when it is needed. */
-	const ordered = new Map<string, SlicesByKind>();
-	let full: FullService[] = [];
-	let lookedAt = Number.NEGATIVE_INFINITY;
+	const slicesByService = new Map<string, SlicesByKind>();
+	let overloaded: OverloadedService[] = [];
+	let levelsReadAt = Number.NEGATIVE_INFINITY;
 
-	const listFull = (): FullService[] => {
+	const listOverloaded = (): OverloadedService[] => {
 		const now = clock.now();
-		if (now - lookedAt >= levelLife) {
-			lookedAt = now;
-			full = [...levels()]
+		if (now - levelsReadAt >= levelCacheDuration) {
+			levelsReadAt = now;
+			overloaded = [...levels()]
 				.filter(([, level]) => level > 0)
 				.map(([service, level]) => ({service, level}));
 		}
 
-		return full;
+		return overloaded;
 	};
 
-	const order = (service: string): SlicesByKind => {
+	const orderDemands = (service: string): SlicesByKind => {
 		const costAt = policy.has('dearFirst') ? graph.costsOf(service) : () => 1;
 		const demands: LoadDemand[] = [];
-		for (const [kind, {route, service: first, priority, requests}] of asked) {
+		for (const [
+			kind,
+			{route, service: first, priority, requests},
+		] of recentWork) {
 			demands.push({kind, priority, requests, cost: costAt(route, first)});
 		}
 
@@ -89,10 +92,10 @@
 	};
 
 	const slicesAt = (service: string, kind: string): ShedSlice[] | undefined => {
-		let slices = ordered.get(service);
+		let slices = slicesByService.get(service);
 		if (!slices) {
-			slices = order(service);
-			ordered.set(service, slices);
+			slices = orderDemands(service);
+			slicesByService.set(service, slices);
 		}
 
 		return slices.get(kind);
@@ -107,17 +110,17 @@
 	return {
 		recordRequest(work) {
 			const kind = kindOf(work);
-			const known = asked.get(kind);
+			const known = recentWork.get(kind);
 			if (known) {
 				known.requests++;
 				known.service = work.service;
 			} else {
-				asked.set(kind, {...work, requests: 1});
+				recentWork.set(kind, {...work, requests: 1});
 			}
 		},
 		shareRefused(work) {
 			let share = 0;
-			for (const {service, level} of listFull()) {
+			for (const {service, level} of listOverloaded()) {
 				const slices = slicesAt(service, kindOf(work));
 				if (slices) {
 					share = Math.max(share, shareRefused(level, slices));
@@ -129,11 +132,11 @@
 			return share;
 		},
 		refresh() {
-			ordered.clear();
-			for (const [kind, entry] of asked) {
+			slicesByService.clear();
+			for (const [kind, entry] of recentWork) {
 				entry.requests *= memory;
-				if (entry.requests < leastRequests) {
-					asked.delete(kind);
+				if (entry.requests < minRequests) {
+					recentWork.delete(kind);
 				}
 			}
 		},
--- a/packages/mesh/src/suspects.ts
+++ b/packages/mesh/src/suspects.ts
@@ -30,7 +30,10 @@
 };
 
 /** The parts of a request by which it is known. */
-type KnownRequest = Pick<ForwardedRequest, 'method' | 'path' | 'headers' | 'body'>;
+type KnownRequest = Pick<
+	ForwardedRequest,
+	'method' | 'path' | 'headers' | 'body'
+>;
 
 /** The quarantine. */
 export type Suspects = Pick<Quarantine, 'noteCrash'> & {
--- a/packages/mesh/src/target-access.ts
+++ b/packages/mesh/src/target-access.ts
@@ -40,7 +40,7 @@
 };
 
 /** Milliseconds between two renewals of the connections: a check of a target's health takes no longer. */
-const renewalPeriod = 2000;
+const minRenewalInterval = 2000;
 
 /** Creates an access to nobody. */
 export function createTargetAccess(options: TargetAccessOptions): TargetAccess {
@@ -108,7 +108,7 @@
 		},
 		renew() {
 			const now = clock.now();
-			if (current && now - renewedAt > renewalPeriod) {
+			if (current && now - renewedAt > minRenewalInterval) {
 				renewedAt = now;
 				open(current);
 			}
--- a/packages/mesh/src/target-client.ts
+++ b/packages/mesh/src/target-client.ts
@@ -47,7 +47,7 @@
 /** The status of a target that is another one than the expected, and did not run the request (RFC 9110, section 15.5.20). */
 const misdirectedStatus = 421;
 /** The largest answer that is held in memory, in bytes. */
-const answerLimit = 64 * 1024 * 1024;
+const maxAnswerBytes = 64 * 1024 * 1024;
 
 /** Creates the client of a target. */
 export function createTargetClient(options: TargetClientOptions): TargetClient {
@@ -126,7 +126,7 @@
 		);
 	};
 
-	const breakOff = (outcome: Outcome) => {
+	const abortExchange = (outcome: Outcome) => {
 		end(outcome);
 		controller?.abort(new Error('the answer is not wanted'));
 	};
@@ -148,7 +148,7 @@
 				}
 
 				if (received[headerNames.requestId] !== request.requestId) {
-					breakOff({kind: 'lost', reason: 'answerForeign'});
+					abortExchange({kind: 'lost', reason: 'answerForeign'});
 					return;
 				}
 
@@ -163,14 +163,14 @@
 				headers = flatten(received);
 				const isSuccess = statusCode < 300;
 				if (isSuccess && received[headerNames.signature] === undefined) {
-					breakOff({kind: 'lost', reason: 'answerUnsigned'});
+					abortExchange({kind: 'lost', reason: 'answerUnsigned'});
 				}
 			},
 			onResponseData(_controller, chunk) {
 				size += chunk.length;
 				chunks.push(chunk);
-				if (size > answerLimit) {
-					breakOff({kind: 'lost', reason: 'answerCut'});
+				if (size > maxAnswerBytes) {
+					abortExchange({kind: 'lost', reason: 'answerCut'});
 				}
 			},
 			onResponseEnd() {
--- a/packages/mesh/src/target-connections.ts
+++ b/packages/mesh/src/target-connections.ts
@@ -20,7 +20,7 @@
 		handler: Dispatcher.DispatchHandler,
 	): void;
 	/** Says whether its end was an ordinary one; to be asked while it is ending. */
-	checkCleanClose(onKnown: (wasClosed: boolean) => void): void;
+	checkCleanClose(onResult: (wasClosed: boolean) => void): void;
 	/** Its request has ended; it may be used again. */
 	release(): void;
 };
@@ -34,14 +34,14 @@
 };
 
 /** Milliseconds for a connection to the same machine; a target that takes longer is down. */
-const connectTime = 500;
+const connectTimeout = 500;
 /** Milliseconds that an idle connection is kept when the target names no time of its own. */
 const idleTime = 4000;
 
 /** Creates connections to `ip:port`; none is opened yet. */
 export function createTargetConnections(address: string): TargetConnections {
 	const connector = buildConnector({
-		timeout: connectTime,
+		timeout: connectTimeout,
 		// Else Node itself refuses all writes after the other side's end.
 		allowHalfOpen: true,
 	});
@@ -73,14 +73,14 @@
 			dispatch(options, handler) {
 				client.dispatch(options, handler);
 			},
-			checkCleanClose(onKnown) {
+			checkCleanClose(onResult) {
 				if (isReset || !socket || socket.destroyed) {
-					onKnown(false);
+					onResult(false);
 					return;
 				}
 
 				socket.write('\r\n', (error) => {
-					onKnown(!error);
+					onResult(!error);
 				});
 			},
 			release() {
--- a/packages/mesh/src/target-dispatcher.ts
+++ b/packages/mesh/src/target-dispatcher.ts
@@ -83,10 +83,10 @@
 };
 
 /** Offers after the first that one request may take: with half of them declined, one in a hundred needs more. */
-const mostRepeats = 6;
+const maxRepeats = 6;
 /** Milliseconds below which another offer has no chance to end in time. */
-const leastTimeToRepeat = 20;
-type Job = WatchedRun & {
+const minTimeToRepeat = 20;
+type PendingRequest = WatchedRun & {
 	/** The instant at which the caller has its final answer. */
 	until: number;
 	onOutcome: OutcomeHandler;
@@ -96,9 +96,11 @@
 };
 
 /** Creates a gatekeeper without a target. */
-export function createTargetDispatcher(options: TargetDispatcherOptions): TargetDispatcher {
+export function createTargetDispatcher(
+	options: TargetDispatcherOptions,
+): TargetDispatcher {
 	const {clock, wheel, metrics, suspects} = options;
-	const isolation = createIsolation<Job>();
+	const isolation = createIsolation<PendingRequest>();
 	const levels = createTargetLevels(options.policy);
 	const access = createTargetAccess({
 		...options,
@@ -113,22 +115,22 @@
 		budget: options.retryBudget,
 	});
 	const {profile} = options;
-	let gate: Gate<Job> = createGate<Job>(1);
+	let admission: Gate<PendingRequest> = createGate<PendingRequest>(1);
 	let target: TargetRecord | undefined;
 	let isStopping = false;
 	let ticker: Timer | undefined;
 
-	const watchTarget = (): CrashWatch<Job> =>
-		createCrashWatch<Job>({
+	const createTargetWatch = (): CrashWatch<PendingRequest> =>
+		createCrashWatch<PendingRequest>({
 			clock,
 			isLeaving: () => target?.isLeaving ?? true,
-			onCrash(jobs, lost) {
-				for (const job of isolation.takeOut(() => true)) {
-					refuse(job, 'targetUnreachable');
+			onCrash(crashedRuns, lost) {
+				for (const pending of isolation.takeOut(() => true)) {
+					refuse(pending, 'targetUnreachable');
 				}
 
 				const {noteCrash} = suspects;
-				reportCrash({...options, recordCrash: noteCrash}, jobs, lost);
+				reportCrash({...options, recordCrash: noteCrash}, crashedRuns, lost);
 			},
 			probe(onResult) {
 				if (target) {
@@ -138,26 +140,26 @@
 				}
 			},
 		});
-	let watch = watchTarget();
+	let watch = createTargetWatch();
 
 	const load = (): TargetLoad => ({
-		occupancy: (gate.running() + gate.waiting()) / gate.limit(),
+		occupancy: (admission.running() + admission.waiting()) / admission.limit(),
 		shedLevel: levels.own(),
 		failureShare: failures.value(clock.now()),
 		runTime: runTime.value(clock.now()),
 	});
 
-	const finish = (job: Job, outcome: Outcome) => {
-		job.state = 'over';
+	const finish = (pending: PendingRequest, outcome: Outcome) => {
+		pending.state = 'over';
 		metrics.attemptEnded(outcome.kind);
-		job.onOutcome(outcome, load());
+		pending.onOutcome(outcome, load());
 	};
 
-	const refuse = (job: Job, reason: RefusalReason) => {
-		finish(job, {kind: 'refused', reason});
+	const refuse = (pending: PendingRequest, reason: RefusalReason) => {
+		finish(pending, {kind: 'refused', reason});
 	};
 
-	const findObstacle = (service: string): RefusalReason | undefined => {
+	const findRefusalReason = (service: string): RefusalReason | undefined => {
 		if (isStopping) {
 			return 'nodeStopping';
 		}
@@ -177,70 +179,70 @@
 		return access.isReachable() ? undefined : 'targetUnreachable';
 	};
 
-	const start = (job: Job) => {
+	const start = (pending: PendingRequest) => {
 		const now = clock.now();
-		const runGate = gate;
+		const runAdmission = admission;
 		const client = access.client();
-		if (job.until - now - responseMargin < 1 || !client) {
-			gate.finish(undefined);
-			refuse(job, client ? 'noTimeLeft' : 'noTarget');
+		if (pending.until - now - responseMargin < 1 || !client) {
+			admission.finish(undefined);
+			refuse(pending, client ? 'noTimeLeft' : 'noTarget');
 			return;
 		}
 
-		if (!mayRunWithOthers(job)) {
-			gate.finish(undefined);
+		if (!mayRunNow(pending)) {
+			admission.finish(undefined);
 			return;
 		}
 
-		job.state = 'running';
-		job.startedAt = now;
+		pending.state = 'running';
+		pending.startedAt = now;
 		const runWatch = watch;
 		let lastOffer: Outcome | undefined;
 		const ordinal = runWatch.started();
-		metrics.targetStarted(now - job.offeredAt);
-		offers.recordStart(job.request, now);
-		profile.noteRun(job.request.route);
-		job.run = startTargetRun({
+		metrics.targetStarted(now - pending.offeredAt);
+		offers.recordStart(pending.request, now);
+		profile.noteRun(pending.request.route);
+		pending.run = startTargetRun({
 			clock,
 			wheel,
 			client,
-			request: job.request,
-			until: job.until,
+			request: pending.request,
+			until: pending.until,
 			mayOfferAgain: () =>
 				access.client() === client &&
 				access.isReachable() &&
-				mayOfferAgain(job, clock.now()),
+				mayOfferAgain(pending, clock.now()),
 			onOffer(outcome) {
 				lastOffer = outcome;
-				noteOffer(job, outcome);
+				recordOffer(pending, outcome);
 			},
 			onFreed(duration) {
 				if (!lastOffer || !isConnectionLoss(lastOffer)) {
 					runWatch.ended(ordinal);
-					leaveIsolation(job);
+					leaveIsolation(pending);
 				}
 
 				metrics.targetEnded(clock.now() - now);
-				runGate.finish(duration);
-				noteRunTime(clock.now() - now, duration !== undefined);
+				runAdmission.finish(duration);
+				recordRunTime(clock.now() - now, duration !== undefined);
 				if (duration !== undefined) {
-					profile.noteRunTime(job.request.route, duration);
+					profile.noteRunTime(pending.request.route, duration);
 				}
 
 				startNext();
 			},
 			onOutcome(outcome) {
 				offers.recordEnd(outcome, clock.now());
-				tellRepeats(job, outcome);
+				reportRepeats(pending, outcome);
 				if (!isConnectionLoss(outcome)) {
-					finishRun(job, outcome);
+					finishRun(pending, outcome);
 					return;
 				}
 
-				runWatch.lost(job, ordinal, (hasCrashed) => {
-					leaveIsolation(job);
+				runWatch.lost(pending, ordinal, (hasCrashed) => {
+					leaveIsolation(pending);
 					finishRun(
-						job,
+						pending,
 						hasCrashed ? {kind: 'lost', reason: 'targetCrashed'} : outcome,
 					);
 				});
@@ -252,53 +254,53 @@
 	};
 
 	/** Refuses a request that crashes targets, and keeps one that may do so until another such one has ended. */
-	const mayRunWithOthers = (job: Job): boolean => {
-		const suspect = suspects.lookUp(job.request);
+	const mayRunNow = (pending: PendingRequest): boolean => {
+		const suspect = suspects.lookUp(pending.request);
 		if (suspect && isQuarantined(suspect)) {
-			refuse(job, 'quarantined');
+			refuse(pending, 'quarantined');
 			return false;
 		}
 
-		const crashes = Math.max(suspect?.crashes ?? 0, job.request.crashes);
-		return !isIsolated({crashes}) || isolation.enter(job);
+		const crashes = Math.max(suspect?.crashes ?? 0, pending.request.crashes);
+		return !isIsolated({crashes}) || isolation.enter(pending);
 	};
 
-	const leaveIsolation = (job: Job) => {
-		const next = isolation.leave(job);
+	const leaveIsolation = (pending: PendingRequest) => {
+		const next = isolation.leave(pending);
 		if (next) {
 			admit(next);
 		}
 	};
 
-	const finishRun = (job: Job, outcome: Outcome) => {
-		if (job.state === 'running') {
-			finish(job, outcome);
+	const finishRun = (pending: PendingRequest, outcome: Outcome) => {
+		if (pending.state === 'running') {
+			finish(pending, outcome);
 		}
 	};
 
 	/** A run that was given up says at least that it takes longer. */
-	const noteRunTime = (elapsed: number, isWhole: boolean) => {
+	const recordRunTime = (elapsed: number, isWhole: boolean) => {
 		const now = clock.now();
 		if (isWhole || elapsed > runTime.value(now)) {
 			runTime.note(elapsed, now);
 		}
 	};
 
-	const mayOfferAgain = (job: Job, now: number): boolean => {
+	const mayOfferAgain = (pending: PendingRequest, now: number): boolean => {
 		const isAllowed =
-			job.state === 'running' &&
+			pending.state === 'running' &&
 			!target?.isLeaving &&
-			(job.run?.repeats() ?? 0) < mostRepeats &&
-			job.until - now >= leastTimeToRepeat &&
+			(pending.run?.repeats() ?? 0) < maxRepeats &&
+			pending.until - now >= minTimeToRepeat &&
 			offers.take(now);
 		if (isAllowed) {
-			metrics.sentAgain(job.request.service);
+			metrics.sentAgain(pending.request.service);
 		}
 
 		return isAllowed;
 	};
 
-	const noteOffer = ({request}: Job, outcome: Outcome) => {
+	const recordOffer = ({request}: PendingRequest, outcome: Outcome) => {
 		const now = clock.now();
 		failures.note(
 			outcome.kind !== 'answered' || isTargetFailure(outcome.status),
@@ -311,7 +313,7 @@
 		}
 	};
 
-	const tellRepeats = ({request, run}: Job, outcome: Outcome) => {
+	const reportRepeats = ({request, run}: PendingRequest, outcome: Outcome) => {
 		const repeats = run?.repeats() ?? 0;
 		if (repeats > 0) {
 			options.reporter.decision(
@@ -324,19 +326,19 @@
 	};
 
 	const startNext = () => {
-		for (let job = gate.next(); job; job = gate.next()) {
-			start(job);
+		for (let pending = admission.next(); pending; pending = admission.next()) {
+			start(pending);
 		}
 
 		scheduleTick();
 	};
 
-	const admit = (job: Job) => {
-		const decision = gate.offer(job.request, job, clock.now());
+	const admit = (pending: PendingRequest) => {
+		const decision = admission.offer(pending.request, pending, clock.now());
 		if (decision === 'refuse') {
-			refuse(job, 'noRoom');
+			refuse(pending, 'noRoom');
 		} else if (decision === 'run') {
-			start(job);
+			start(pending);
 		}
 	};
 
@@ -344,7 +346,7 @@
 	const scheduleTick = () => {
 		const now = clock.now();
 		const isIdle =
-			gate.waiting() + isolation.waiting() === 0 &&
+			admission.waiting() + isolation.waiting() === 0 &&
 			levels.isIdle(offers.unserved(now));
 		if (ticker !== undefined || isIdle) {
 			return;
@@ -357,43 +359,47 @@
 		});
 	};
 
-	let lastUpdate = 0;
+	let lastLevelUpdate = 0;
 	const tick = () => {
 		const now = clock.now();
-		const isOverdue = ({offeredAt, request}: Job) =>
+		const isOverdue = ({offeredAt, request}: PendingRequest) =>
 			offeredAt + request.patience < now;
-		for (const job of [...gate.expire(now), ...isolation.takeOut(isOverdue)]) {
-			refuse(job, 'waitedTooLong');
+		for (const pending of [
+			...admission.expire(now),
+			...isolation.takeOut(isOverdue),
+		]) {
+			refuse(pending, 'waitedTooLong');
 		}
 
-		const elapsed = now - lastUpdate;
+		const elapsed = now - lastLevelUpdate;
 		if (elapsed >= shedPeriod) {
-			lastUpdate = now;
+			lastLevelUpdate = now;
 			const declined = offers.declined(now);
 			levels.update({
-				wait: gate.expectedWait(),
-				occupancy: gate.running() / gate.limit(),
-				arriving: ((1 - declined) * gate.takeArrivals()) / elapsed,
+				wait: admission.expectedWait(),
+				occupancy: admission.running() / admission.limit(),
+				arriving: ((1 - declined) * admission.takeArrivals()) / elapsed,
 				declined,
 				unserved: offers.unserved(now),
 			});
 		}
 	};
 
-	const isKnownStart = (record: TargetRecord) =>
+	const isKnownIncarnation = (record: TargetRecord) =>
 		target?.targetId === record.targetId &&
 		target.startedAt === record.startedAt &&
 		target.address === record.address;
 
-	const takeWaiting = (): Job[] => [
-		...gate.clear(),
+	const removeWaiting = (): PendingRequest[] => [
+		...admission.clear(),
 		...isolation.takeOut(() => true),
 	];
 
 	return {
 		setTarget(record) {
-			const isOtherStart = record !== undefined && !isKnownStart(record);
-			if (isOtherStart) {
+			const isNewIncarnation =
+				record !== undefined && !isKnownIncarnation(record);
+			if (isNewIncarnation) {
 				watch.refused();
 			}
 
@@ -404,37 +410,39 @@
 
 			// Each announcement says that the target lives; the next request shows whether it is reached.
 			access.assumeReachable();
-			if (isOtherStart) {
-				const waiting = takeWaiting();
-				watch = watchTarget();
-				gate = createGate<Job>(options.policy.limitOf(record.slots));
+			if (isNewIncarnation) {
+				const waiting = removeWaiting();
+				watch = createTargetWatch();
+				admission = createGate<PendingRequest>(
+					options.policy.limitOf(record.slots),
+				);
 				access.close();
 				if (!record.isLeaving) {
 					access.open(record);
 				}
 
-				for (const job of waiting) {
-					refuse(job, 'targetReplaced');
+				for (const pending of waiting) {
+					refuse(pending, 'targetReplaced');
 				}
 			}
 
-			gate.setLimit(options.policy.limitOf(record.slots));
+			admission.setLimit(options.policy.limitOf(record.slots));
 			if (record.isLeaving) {
-				for (const job of takeWaiting()) {
-					refuse(job, 'targetLeaving');
+				for (const pending of removeWaiting()) {
+					refuse(pending, 'targetLeaving');
 				}
 			}
 		},
-		serves: (service) => findObstacle(service) === undefined,
+		serves: (service) => findRefusalReason(service) === undefined,
 		stop() {
 			isStopping = true;
-			for (const job of takeWaiting()) {
-				refuse(job, 'nodeStopping');
+			for (const pending of removeWaiting()) {
+				refuse(pending, 'nodeStopping');
 			}
 		},
 		send(request, onOutcome) {
 			const now = clock.now();
-			const job: Job = {
+			const pending: PendingRequest = {
 				request,
 				until: now + request.timeLeft,
 				onOutcome,
@@ -442,16 +450,16 @@
 				startedAt: now,
 				state: 'waiting',
 			};
-			const obstacle = findObstacle(request.service);
-			if (obstacle) {
-				refuse(job, obstacle);
+			const refusalReason = findRefusalReason(request.service);
+			if (refusalReason) {
+				refuse(pending, refusalReason);
 				return () => undefined;
 			}
 
-			admit(job);
+			admit(pending);
 			scheduleTick();
 			return () => {
-				giveUp(job);
+				giveUp(pending);
 			};
 		},
 		recordCall(route) {
@@ -462,25 +470,26 @@
 		close() {
 			access.close();
 		},
-		openRequests: () => gate.running() + gate.waiting() + isolation.waiting(),
+		openRequests: () =>
+			admission.running() + admission.waiting() + isolation.waiting(),
 		readings: () => ({
-			inFlight: gate.running(),
-			waiting: gate.waiting(),
-			limit: gate.limit(),
+			inFlight: admission.running(),
+			waiting: admission.waiting(),
+			limit: admission.limit(),
 			shedLevel: levels.own(),
 		}),
 	};
 
-	function giveUp(job: Job): void {
-		if (job.state === 'waiting') {
-			job.state = 'over';
-			gate.withdraw(job);
-			isolation.withdraw(job);
-		} else if (job.state === 'running') {
-			job.state = 'over';
+	function giveUp(pending: PendingRequest): void {
+		if (pending.state === 'waiting') {
+			pending.state = 'over';
+			admission.withdraw(pending);
+			isolation.withdraw(pending);
+		} else if (pending.state === 'running') {
+			pending.state = 'over';
 			// Work that may not be repeated is left to end: cutting it off spares nothing that its caller could still get.
-			if (job.request.isIdempotent) {
-				job.run?.cancel();
+			if (pending.request.isIdempotent) {
+				pending.run?.cancel();
 			}
 		}
 	}
--- a/packages/mesh/src/target-record.ts
+++ b/packages/mesh/src/target-record.ts
@@ -43,12 +43,15 @@
 	| {kind: 'changed'; record: TargetRecord};
 
 /** Whether two announcements are of one start of one target. */
-export function isSameIncarnation(left: Announcement, right: Announcement): boolean {
+export function isSameIncarnation(
+	left: Announcement,
+	right: Announcement,
+): boolean {
 	return left.startedAt === right.startedAt && left.targetId === right.targetId;
 }
 
 /** What a farewell says of a target that never announced itself here. */
-const unknownPart = 'unknown';
+const unknownField = 'unknown';
 
 /** Takes an announcement. */
 export function applyAnnouncement(
@@ -101,8 +104,8 @@
 				targetId,
 				startedAt: startedAt ?? now,
 				sequence: Number.MAX_SAFE_INTEGER,
-				service: unknownPart,
-				address: unknownPart,
+				service: unknownField,
+				address: unknownField,
 				slots: 1,
 				warmUpLeft: 0,
 				isLeaving: true,
@@ -111,8 +114,9 @@
 		};
 	}
 
-	const isOtherStart = startedAt !== undefined && startedAt !== known.startedAt;
-	if (known.targetId !== targetId || isOtherStart) {
+	const isOtherIncarnation =
+		startedAt !== undefined && startedAt !== known.startedAt;
+	if (known.targetId !== targetId || isOtherIncarnation) {
 		return {kind: 'stale'};
 	}
 
--- a/packages/mesh/src/target-run.ts
+++ b/packages/mesh/src/target-run.ts
@@ -39,7 +39,7 @@
 /** Milliseconds for an answer to get back to the caller before its time is over. */
 export const responseMargin = 8;
 /** Milliseconds after the end of a request's time until a target that has not stopped is cut off. */
-const overtime = 100;
+const overrunGrace = 100;
 /**
  * Milliseconds that a target may go on with work that its caller no longer
  * wants. When one call of a request fails, its target gives up the others, and
@@ -64,12 +64,12 @@
 		}
 
 		isFreed = true;
-		removeGuard();
+		removeCutOff();
 		removeCancel();
 		options.onFreed(duration);
 	};
 
-	const removeGuard = wheel.add(until + overtime, () => {
+	const removeCutOff = wheel.add(until + overrunGrace, () => {
 		cancelOffer();
 		free(undefined);
 		options.onUnresponsive();
--- a/packages/mesh/src/target-tracker.ts
+++ b/packages/mesh/src/target-tracker.ts
@@ -38,15 +38,17 @@
 };
 
 /** Creates the belief that there is no target. */
-export function createTargetTracker(options: TargetTrackerOptions): TargetTracker {
-	const {clock, dispatcher: gatekeeper, reporter, onChange} = options;
+export function createTargetTracker(
+	options: TargetTrackerOptions,
+): TargetTracker {
+	const {clock, dispatcher, reporter, onChange} = options;
 	let target: TargetRecord | undefined;
 	let isReachable = true;
 
 	const setTarget = (record: TargetRecord) => {
 		target = record;
 		isReachable = true;
-		gatekeeper.setTarget(record);
+		dispatcher.setTarget(record);
 		reporter.notice('meshTargetChanged', {
 			target: record.targetId,
 			service: record.service,
@@ -59,30 +61,32 @@
 	};
 
 	/** An announcement without news still shows that the target lives. */
-	const renew = (record: TargetRecord) => {
+	const refresh = (record: TargetRecord) => {
 		target = record;
 		if (!isReachable) {
 			isReachable = true;
-			gatekeeper.setTarget(record);
+			dispatcher.setTarget(record);
 			onChange();
 		}
 	};
 
-	const take = async (change: RecordChange): Promise<boolean> => {
+	const apply = async (change: RecordChange): Promise<boolean> => {
 		if (change.kind === 'stale') {
 			return false;
 		}
 
 		const {record} = change;
-		const isKept =
-			target !== undefined && isSameIncarnation(target, record) && target.isLeaving;
+		const isPersisted =
+			target !== undefined &&
+			isSameIncarnation(target, record) &&
+			target.isLeaving;
 		if (change.kind === 'changed') {
 			setTarget(record);
 		} else {
-			renew(record);
+			refresh(record);
 		}
 
-		if (record.isLeaving && !isKept) {
+		if (record.isLeaving && !isPersisted) {
 			await options.persistLeaving(record);
 		}
 
@@ -91,9 +95,9 @@
 
 	return {
 		announce: async (announcement) =>
-			take(applyAnnouncement(target, announcement)),
+			apply(applyAnnouncement(target, announcement)),
 		withdraw: async (withdrawal) =>
-			take(applyWithdrawal(target, withdrawal, clock.date().getTime())),
+			apply(applyWithdrawal(target, withdrawal, clock.date().getTime())),
 		restoreLeaving(record) {
 			if (!target || target.startedAt < record.startedAt) {
 				setTarget(record);
