--- a/packages/mesh/src/caller-listener.ts
+++ b/packages/mesh/src/caller-listener.ts
@@ -1,7 +1,8 @@
 /**
- * The HTTP listener for the callers beside this node and for the target's own
- * calls. Bodies are read whole before they go anywhere, so that a caller that
- * stalls or leaves in the middle holds no slot of a target.
+ * The HTTP listener for local callers and for calls of the local target.
+ *
+ * Bodies are buffered before a request is forwarded, so that a caller that
+ * stalls or disconnects during an upload holds no slot of a target.
  */
 import {Buffer} from 'node:buffer';
 import {
@@ -24,37 +25,37 @@
 import type {FinalAnswer} from './caller-request.js';
 import type {CallerLimits} from './route.js';
 
-/** What the listener needs. */
+/** Dependencies of the listener. */
 export type CallerListenerOptions = {
 	entry: Entry;
 	clock: Clock;
 	headerNames: HeaderNames;
 	reporter: MeshReporter;
-	/** The service beside which this node runs, as targets are told. */
+	/** The service of the local target, sent to targets in a header. */
 	callerService: () => string;
-	/** Whether callers name their workspaces by keys. */
+	/** Whether callers identify their workspaces by keys. */
 	hasWorkspaces: () => boolean;
 	isStopping: () => boolean;
 };
 
-/** The listener. */
+/** The listener for callers. */
 export type CallerListener = {
-	/** Listens on `ip:port`; gives the address that it got. */
+	/** Listens on `ip:port`; returns the bound address. */
 	listen(address: string): Promise<string>;
 	applyLimits(limits: CallerLimits): void;
-	/** Takes no new connections and closes those that are idle. */
+	/** Closes idle connections. */
 	drain(): void;
 	close(): void;
 };
 
-/** What callers may send before any configuration is known: what Node itself allows. */
+/** Limits before a configuration is known: the defaults of Node. */
 const defaultLimits: CallerLimits = {
 	headerBytes: 16 * 1024,
 	bodyBytes: 64 * 1024 * 1024,
 	headerTime: 3000,
 	idleTime: 15_000,
 };
-/** The largest headers that are parsed at all; the configured limit is checked after. */
+/** Maximum size of parsed headers, in bytes; the configured limit is checked afterwards. */
 const maxParsedHeaderBytes = 256 * 1024;
 
 /** Creates a listener that is not listening yet. */
@@ -68,7 +69,7 @@
 		headerNames.timeLeft,
 		headerNames.workspace,
 	]);
-	/** Without workspaces a key is the application's own. */
+	/** Without workspaces, a key header belongs to the application and is forwarded. */
 	const droppedWithKey = new Set([...dropped, headerNames.workspaceKey]);
 	let limits = defaultLimits;
 	const leaveHandlersBySocket = new WeakMap<Socket, Set<() => void>>();
@@ -124,7 +125,7 @@
 
 		const arrivedAt = options.clock.now();
 		if (!hasBody(request)) {
-			// Without a look at a stream that brings nothing: six calls of the stream for each read request.
+			// Skips the empty body stream, which would cost six stream calls for each read request.
 			handle(request, response, undefined, arrivedAt);
 			return;
 		}
@@ -171,7 +172,7 @@
 			options.hasWorkspaces() ? droppedWithKey : dropped,
 		);
 		headers.push(headerNames.callerService, options.callerService());
-		// An answer can be given before the way to say that the caller left is known.
+		// The answer may be available before `handle` has returned its leave callback.
 		let isAnswered = false;
 		let removeLeaveHandler = () => undefined as unknown;
 		const leave = options.entry.handle(
@@ -267,7 +268,7 @@
 	);
 }
 
-/** Bytes of the header lines as they were sent: names and values are Latin-1, with a colon, a space and a line end. */
+/** Size of the header lines on the wire, in bytes: names and values are Latin-1, with a colon, a space and a line end. */
 function sizeOfHeaders(headers: string[]): number {
 	const separators = 4;
 	let size = 0;
--- a/packages/mesh/src/caller-request.ts
+++ b/packages/mesh/src/caller-request.ts
@@ -1,32 +1,32 @@
-/** What callers send, and what they get. */
+/** Requests of callers and their final answers. */
 import type {TargetAnswer} from './exchange.js';
 
-/** A request as a caller sent it. */
+/** A request of a caller. */
 export type CallerRequest = {
 	requestId: string;
 	method: string;
 	host: string;
-	/** With its query. */
+	/** Includes the query. */
 	path: string;
-	/** End-to-end headers that go on as they are. */
+	/** End-to-end headers, forwarded unchanged. */
 	headers: string[];
 	body: Uint8Array | undefined;
-	/** The key of its workspace, if it brings exactly one. */
+	/** The key of its workspace; undefined unless it has exactly one. */
 	workspaceKey: string | undefined;
-	/** When its first byte was read, on the clock. */
+	/** Arrival time, on the clock. */
 	arrivedAt: number;
-	/** Milliseconds that the caller waits, from its arrival. */
+	/** The caller's timeout in milliseconds, from the arrival of the request. */
 	timeLeft: number | undefined;
 };
 
-/** An answer of this node's own. */
+/** An answer that the node itself generated. */
 export type OwnAnswer = {
 	kind: 'own';
 	status: 401 | 404 | 429 | 502 | 503 | 504;
 	reason: string;
-	/** Milliseconds after which the caller should come back. */
+	/** Milliseconds after which the caller should retry. */
 	retryAfter?: number;
 };
 
-/** What a caller gets. */
+/** The answer that a caller receives. */
 export type FinalAnswer = ({kind: 'target'} & TargetAnswer) | OwnAnswer;
--- a/packages/mesh/src/crash-report.ts
+++ b/packages/mesh/src/crash-report.ts
@@ -1,4 +1,4 @@
-/** What is told of a crash of the target beside this node. */
+/** Reports a crash of the local target. */
 import type {MeshMetrics} from '@egretspoke/observability';
 import {
 	identifyRequest,
@@ -12,20 +12,20 @@
 import type {MeshReporter} from './mesh-reporter.js';
 import {partsOf} from './request-parts.js';
 
-/** A request at the target. */
+/** A request running at the target. */
 export type WatchedRun = TimedRun & {request: ForwardedRequest};
 
-/** What the report needs. */
+/** Dependencies of the report. */
 export type CrashReportOptions = {
 	clock: Clock;
 	headerNames: Pick<HeaderNames, 'workspace'>;
 	reporter: MeshReporter;
 	metrics: Pick<MeshMetrics, 'targetCrashed'>;
-	/** Takes the runs; gives what is known now of the suspects that they changed. */
+	/** Records the runs in the suspect registry; returns the suspects that changed. */
 	recordCrash: (runs: CrashedRun[]) => Suspect[];
 };
 
-/** Notes a crash with the runs that come under suspicion, and tells of each. */
+/** Records a crash with the runs suspected to have caused it, and logs each of them. */
 export function reportCrash(
 	{
 		clock,
--- a/packages/mesh/src/deadline-wheel.ts
+++ b/packages/mesh/src/deadline-wheel.ts
@@ -1,18 +1,18 @@
 /**
- * Deadlines of many requests on one timer.
+ * A timer wheel for the deadlines of many requests.
  *
- * A timer for each request is set and taken back thousands of times a second
- * and wakes the process once for each that fires. Here deadlines share ticks,
- * and the process wakes only at ticks at which something is due.
+ * With one timer per request, timers would be set and cancelled thousands of
+ * times a second, and each that fires would wake the process. Here deadlines
+ * share ticks on one timer, and the process wakes only at ticks with due deadlines.
  */
 import type {Clock, Timer} from '@egretspoke/shared';
 
-/** Milliseconds by which a deadline may fire late; callers are owed their answer within a quarter of a second. */
+/** Tick length, by which a deadline may fire late, in milliseconds; callers must be answered within a quarter of a second. */
 export const wheelTick = 40;
 
-/** Calls back at deadlines, up to a tick late. */
+/** Runs callbacks at deadlines, up to one tick late. */
 export type DeadlineWheel = {
-	/** Calls back at the instant of the clock; gives a way to take it back. */
+	/** Schedules a callback at a time on the clock; returns a function that cancels it. */
 	add(at: number, callback: () => void): () => void;
 };
 
@@ -20,11 +20,11 @@
 export function createDeadlineWheel(clock: Clock): DeadlineWheel {
 	const slots = new Map<number, Set<() => void>>();
 	let timer: Timer | undefined;
-	/** The tick for which the timer is set. */
+	/** The tick at which the timer fires. */
 	let timerTick = Number.POSITIVE_INFINITY;
 	let lastTick = Math.floor(clock.now() / wheelTick);
 
-	/** Most deadlines are taken back, so that the timer is rarely set anew for an earlier one. */
+	/** Cancelled deadlines leave the timer unchanged; it is set again only for an earlier tick, which is rare. */
 	const setTimerFor = (tick: number) => {
 		timer?.cancel();
 		timerTick = tick;
--- a/packages/mesh/src/directory.ts
+++ b/packages/mesh/src/directory.ts
@@ -1,9 +1,9 @@
 /**
- * The links of this node to the others: which it keeps, what comes over them,
- * and the targets that they lead to.
+ * The directory of remote targets: maintains links to other nodes, handles the
+ * messages received over them, and lists the targets they lead to.
  *
- * Whatever the size of the fleet, links are kept to a bounded subset of each
- * service (`peer-subset.ts`) and opened by need.
+ * Links are opened on demand and limited to a bounded subset of each service
+ * (`peer-subset.ts`), so that their number doesn't grow with the fleet.
  */
 import type {Clock, Random} from '@egretspoke/shared';
 import type {FeedPeer} from './decisions/feed-followers.js';
@@ -29,7 +29,7 @@
 
 export type {TargetCandidate} from './peer.js';
 
-/** What a directory needs. */
+/** Dependencies of a directory. */
 export type DirectoryOptions = {
 	clock: Clock;
 	random: Random;
@@ -41,53 +41,53 @@
 		reply: (message: PeerMessage) => void,
 	) => void;
 	onMalformed: (detail: string) => void;
-	/** A node told its state. */
+	/** A node reported its state. */
 	onState: (state: StateMessage) => void;
-	/** A node told what requests cause at its target. */
+	/** A node reported the call profiles of its target. */
 	onProfiles: (node: string, message: ProfilesMessage) => void;
 	onPeer: (node: string, change: 'up' | 'down') => void;
-	/** Members that this node needs links to whatever their service. */
+	/** Members that need a link regardless of their service. */
 	pinned: () => Iterable<string>;
 };
 
-/** Where members were learnt from; what peers tell is passed on. */
+/** The source of a member record; records from peers are gossiped further. */
 export type MemberSource = 'store' | 'peer';
 
-/** The directory. */
+/** The links to other nodes and the remote targets. */
 export type Directory = {
-	/** Takes members; links are opened to those that the subsets want. */
+	/** Adds members; links are opened to those selected by the subsets. */
 	addMembers(members: Member[], source: MemberSource): void;
-	/** A member said hello: it is there, whatever was believed of it. */
+	/** Records a member that sent a hello: it is alive, even if it was considered gone. */
 	recordHello(member: Member): void;
-	/** Targets of the service that may be chosen, other than the one beside this node. */
+	/** Remote targets of the service that are available and not yet tried. */
 	candidates(service: string, tried: ReadonlySet<string>): TargetCandidate[];
-	/** The services of the linked targets, each with the mean of their shed levels. */
+	/** The mean shed level of the linked targets, by service. */
 	shedLevels(): Map<string, number>;
-	/** The nodes whose links can be used, with what they said of the feed. */
+	/** The nodes with usable links, and whether each follows the feed. */
 	feedPeers(): FeedPeer[];
-	/** All members that this node has heard of, itself left out. */
+	/** All known members except this node. */
 	members(): Member[];
-	/** Whether the link to the node can be used. */
+	/** Whether the link to the node is usable. */
 	isLinked(node: string): boolean;
-	/** Tells a linked node. */
+	/** Sends a message to a linked node. */
 	send(node: string, message: PeerMessage): void;
-	/** Tells one linked node, drawn at random. */
+	/** Sends a message to a random linked node. */
 	sendToRandomPeer(message: PeerMessage): void;
-	/** How many nodes there are, this one counted. */
+	/** Number of known nodes, including this one. */
 	size(): number;
-	/** Nodes whose links can be used. */
+	/** Number of nodes with usable links. */
 	connected(): number;
-	/** The same, with their links. */
+	/** The nodes with usable links. */
 	linked(): Array<Pick<Peer, 'member' | 'link'>>;
-	/** Tells every linked node. */
+	/** Sends a message to every linked node. */
 	broadcast(message: PeerMessage): void;
 	close(): void;
 };
 
-/** Milliseconds between two looks at the subsets. */
+/** Interval at which the subsets are recomputed, in milliseconds. */
 const subsetRefreshInterval = 600;
 
-/** Creates a directory that knows nobody. */
+/** Creates a directory without members. */
 export function createDirectory(options: DirectoryOptions): Directory {
 	const {clock, random, self, ticker} = options;
 	const known = createKnownMembers(self.node);
@@ -117,7 +117,7 @@
 		links: links.usable,
 	});
 
-	/** An address may belong to another node by now, which then answers in its place. */
+	/** The address may have been reassigned to another node, which then answers on it. */
 	const checkIdentity = (peer: Peer, found: Member): boolean => {
 		const isExpected = found.node === peer.member.node;
 		if (!isExpected) {
@@ -129,7 +129,7 @@
 		return isExpected;
 	};
 
-	/** Messages about the peer itself; the others may come on either side of a link. */
+	/** Handlers of messages about the peer itself; all other messages may arrive on either side of a link. */
 	const handlers: {
 		[Kind in PeerMessage['kind']]?: (
 			peer: Peer,
@@ -189,7 +189,7 @@
 		}
 	};
 
-	/** Opens and closes links so that the subsets are as wanted. */
+	/** Opens and closes links to match the selected subsets. */
 	const refresh = () => {
 		const wanted = wantedMembers.choose();
 		for (const node of wanted) {
--- a/packages/mesh/src/entry.ts
+++ b/packages/mesh/src/entry.ts
@@ -1,4 +1,7 @@
-/** Requests of the callers beside this node: finds the route of each and lets it pass. */
+/**
+ * The entry of a node: finds the route and the workspace of each caller's
+ * request, enforces quotas and forwards what is admitted.
+ */
 import type {CallerRequest, FinalAnswer, OwnAnswer} from './caller-request.js';
 import {shortReturn} from './decisions/return-time.js';
 import {
@@ -11,21 +14,21 @@
 import type {RouteTable, TableRoute} from './route-table.js';
 import type {Workspace} from './workspace.js';
 
-/** What an entry needs. */
+/** Dependencies of an entry. */
 export type EntryOptions = ForwardingOptions & {
 	routes: () => RouteTable | undefined;
 	quotas: Pick<QuotaExchange, 'allows' | 'noteAdmitted' | 'returnTime'>;
 	headerNames: Pick<HeaderNames, 'workspace'>;
 };
 
-/** Takes requests of callers. */
+/** Handles callers' requests. */
 export type Entry = {
-	/** Answers exactly once, unless the caller leaves first; gives the way to say that it left. */
+	/** Answers exactly once, unless the caller disconnects first; returns a function that reports the disconnect. */
 	handle(
 		request: CallerRequest,
 		answer: (final: FinalAnswer) => void,
 	): () => void;
-	/** Requests without a final answer. */
+	/** Number of requests without a final answer. */
 	open(): number;
 };
 
@@ -49,7 +52,7 @@
 	};
 }
 
-/** Where a request may go, and for whom. */
+/** An admitted request: its route, workspace and urgency. */
 type Admission = {
 	kind: 'admitted';
 	route: TableRoute;
@@ -57,7 +60,7 @@
 	urgency: number;
 };
 
-/** Why a request goes nowhere. */
+/** A rejected request: its route and the answer to its caller. */
 type Rejection = {kind: 'rejected'; route: string; answer: OwnAnswer};
 
 function handleRequest(
--- a/packages/mesh/src/exchange.ts
+++ b/packages/mesh/src/exchange.ts
@@ -1,34 +1,34 @@
-/** A request on its way to a target, and what came of it. */
+/** The request that an entry node sends to a target's node, and the outcome of the attempt. */
 
-/** What an entry hands to the node beside a target. */
+/** A request as an entry node sends it to a target's node. */
 export type ForwardedRequest = {
 	/** The caller's id of this attempt. */
 	requestId: string;
 	method: string;
 	path: string;
-	/** End-to-end headers, name and value by turns. */
+	/** End-to-end headers, names and values alternating. */
 	headers: string[];
 	body: Uint8Array | undefined;
 	route: string;
-	/** The service that the route chose; a target of another one must not run it. */
+	/** The service selected by the route; targets of other services must not run the request. */
 	service: string;
 	isIdempotent: boolean;
-	/** It comes from a target that works on another request. */
+	/** It is a call of a target, made while that target runs another request. */
 	isInner: boolean;
-	/** It is a call, or new work that makes none: no service is needed after this one. */
+	/** It is a call of running work, or new work that makes no calls: no service is needed after this one. */
 	isNearItsEnd: boolean;
-	/** 1 when another target got it before; for a call, the share of its caller's work that is a repeat. */
+	/** 1 if another target received it before; for a call, the share of the calling target's work that is a repeat. */
 	repeatShare: number;
-	/** Targets that crashed under this request, as far as its entry knows. */
+	/** Known crashes of targets while they ran this request. */
 	crashes: number;
 	priority: number;
-	/** Milliseconds that it may wait for a slot. */
+	/** Maximum wait for a slot, in milliseconds. */
 	patience: number;
-	/** Milliseconds until its caller gets the final answer, at the time of sending. */
+	/** Milliseconds until the deadline of the final answer, at the time of sending. */
 	timeLeft: number;
 };
 
-/** Why a request wasn't given to a target. */
+/** Why a request was refused before it reached the target. */
 export type RefusalReason =
 	| 'noTarget'
 	| 'targetLeaving'
@@ -43,10 +43,10 @@
 	| 'nodeStopping'
 	| 'linkDown';
 
-/** Why nobody knows whether a target ran a request. */
+/** Why it is unknown whether a target ran a request. */
 export type LossReason =
 	| 'connectionLost'
-	/** Its target crashed while it had it. */
+	/** The target crashed while it ran the request. */
 	| 'targetCrashed'
 	| 'answerCut'
 	| 'answerForeign'
@@ -54,15 +54,15 @@
 	| 'linkLost'
 	| 'noAnswerInTime';
 
-/** A target's answer, whole. */
+/** A complete answer of a target. */
 export type TargetAnswer = {
 	status: number;
-	/** End-to-end headers, name and value by turns. */
+	/** End-to-end headers, names and values alternating. */
 	headers: string[];
 	body: Uint8Array;
 };
 
-/** The status by which a target says that it ran a request and failed. */
+/** The status of a target that ran a request and failed. */
 const failureStatus = 500;
 
 /** Whether the answer is the target's own failure. */
@@ -70,17 +70,17 @@
 	return status === failureStatus;
 }
 
-/** What came of one attempt. */
+/** The outcome of one attempt. */
 export type Outcome =
 	| ({kind: 'answered'} & TargetAnswer)
-	/** The target never got it, so it has not run and never will. */
+	/** The target never received it, so it has not run and never will. */
 	| {kind: 'refused'; reason: RefusalReason}
-	/** The target got it and said that it did not run it. */
+	/** The target received it and certified that it did not run it. */
 	| {kind: 'declined'; status: number}
-	/** It may have run, or may still run. */
+	/** It may have run, or may still be running. */
 	| {kind: 'lost'; reason: LossReason};
 
-/** Whether the connection to the target broke under a request. */
+/** Whether the connection to the target was lost during the request. */
 export function isConnectionLoss(outcome: Outcome): boolean {
 	return (
 		outcome.kind === 'lost' &&
@@ -88,19 +88,19 @@
 	);
 }
 
-/** How loaded a target is. */
+/** The load of a target. */
 export type TargetLoad = {
-	/** Requests in it or waiting for it, over what it may run at once. */
+	/** Running and waiting requests, divided by the concurrency limit. */
 	occupancy: number;
-	/** What the entries are asked to refuse of the load; see `shed-level.ts`. */
+	/** How much of the load entry nodes are to shed; see `shed-level.ts`. */
 	shedLevel: number;
-	/** The share of its latest answers that were failures, sinking with time. */
+	/** The share of failures among recent outcomes, decaying over time. */
 	failureShare: number;
-	/** Milliseconds that it takes for a request lately, 0 when unknown; see `run-time.ts`. */
+	/** Recent run time of a request in milliseconds, 0 if unknown; see `run-time.ts`. */
 	runTime: number;
 };
 
-/** The load of a target of which nothing has been heard. */
+/** The load of a target that has not reported yet. */
 export const idleLoad: TargetLoad = {
 	occupancy: 0,
 	shedLevel: 0,
@@ -108,16 +108,16 @@
 	runTime: 0,
 };
 
-/** Takes the outcome and the load of the target at that time. */
+/** Receives the outcome of an attempt and the load of the target at that time. */
 export type OutcomeHandler = (
 	outcome: Outcome,
 	load: TargetLoad | undefined,
 ) => void;
 
-/** Gives up one attempt; its outcome isn't wanted any more. */
+/** Cancels an attempt; its outcome is discarded. */
 export type CancelAttempt = () => void;
 
-/** A way to one target: through the link to its node, or beside this node. */
+/** A channel to one target: over the link to its node, or direct if it is local. */
 export type TargetChannel = {
 	send(request: ForwardedRequest, onOutcome: OutcomeHandler): CancelAttempt;
 };
--- a/packages/mesh/src/forwarding-report.ts
+++ b/packages/mesh/src/forwarding-report.ts
@@ -1,6 +1,7 @@
 /**
- * What is told of a request's end: one count for each, and a line for each that
- * a target did not answer with a success, with the facts that decided it.
+ * Reports the end of a request: a metric for each request, and a log event with
+ * its details for each request that no target answered, or that a target
+ * answered with a failure.
  */
 import type {MeshMetrics, MeshOutcome} from '@egretspoke/observability';
 import type {Clock} from '@egretspoke/shared';
@@ -8,36 +9,36 @@
 import {localNode} from './local-candidate.js';
 import type {MeshReporter} from './mesh-reporter.js';
 
-/** What was known when the request came in. */
+/** Details known on arrival; logged with the request. */
 export type ForwardingFacts = {
 	route: string;
 	service: string;
 	isInner: boolean;
 };
 
-/** What had become of it at its end. */
+/** The attempts of a request, at its end. */
 export type ForwardingAttempts = {
-	/** Targets that got it. */
+	/** Attempts that reached a target. */
 	arrivals: number;
-	/** Gatekeepers that turned it away. */
+	/** Attempts that the target's node refused. */
 	refusals: number;
-	/** The node whose target answered last. */
+	/** The node of the last target that answered. */
 	answeredBy: string;
-	/** The share of requests like this one, from 0 to 1, that entries refused at its last try. */
+	/** The share of requests of this kind, from 0 to 1, that entry nodes shed at its last attempt. */
 	shed: number;
 };
 
-/** Tells the end of one request; one of the two is called, once. */
+/** Reports the end of one request; exactly one of the methods is called, once. */
 export type ForwardingReport = {
 	answered(final: FinalAnswer, attempts: ForwardingAttempts): void;
-	/** The caller has gone. */
+	/** The caller disconnected. */
 	left(): void;
 };
 
-/** The least status that tells of a failure on the target's side (RFC 9110, section 15.6). */
+/** The lowest status of a server error (RFC 9110, section 15.6). */
 const minServerErrorStatus = 500;
 
-/** Creates the report of a request that has just come in. */
+/** Creates the report of a request on its arrival. */
 export function createForwardingReport(
 	{
 		clock,
--- a/packages/mesh/src/graceful-shutdown.ts
+++ b/packages/mesh/src/graceful-shutdown.ts
@@ -1,22 +1,22 @@
-/** How long a node that was told to stop goes on. */
+/** Determines how long a stopping node keeps running. */
 import type {Clock} from '@egretspoke/shared';
 
 /**
- * Milliseconds that a stopping node goes on at least: callers' balancers ask
- * every second and take a node out after two misses.
+ * Minimum time that a stopping node keeps running, in milliseconds: callers' load
+ * balancers check every second and remove a node after two failed checks.
  */
 const minStopDuration = 2500;
-/** Milliseconds before the end of the grace at which what is left is cut. */
+/** Milliseconds before the end of the grace period at which remaining requests are cut off. */
 const stopReserve = 500;
-/** Milliseconds between two looks at what is still in flight. */
+/** Interval between checks for requests in flight, in milliseconds. */
 const idleCheckInterval = 50;
 
 /**
- * Resolves when nothing is in flight any more, or shortly before the grace is
- * over.
+ * Resolves when no request is in flight, or shortly before the end of the grace
+ * period.
  *
  * @param grace - Milliseconds from now until the process is killed.
- * @param look - Whether nothing is in flight; asked in each period.
+ * @param look - Returns whether no request is in flight; called once per interval.
  */
 export async function waitUntilIdle(
 	clock: Clock,
--- a/packages/mesh/src/header-names.ts
+++ b/packages/mesh/src/header-names.ts
@@ -1,20 +1,20 @@
-/** The headers by which a deployment's callers and targets tell what the product needs to know. */
+/** The headers through which callers and targets of a deployment exchange metadata with nodes. */
 
-/** Lower-case header names; a deployment states its own. */
+/** Lower-case header names, configured per deployment. */
 export type HeaderNames = {
-	/** The caller's id of one attempt; the target repeats it in its answer. */
+	/** The caller's id of this attempt; the target repeats it in its answer. */
 	requestId: string;
-	/** Milliseconds that the caller still waits. */
+	/** Milliseconds until the caller's timeout. */
 	timeLeft: string;
 	/** The id of the only target that may run the request. */
 	expectedTarget: string;
-	/** The service beside which the request began. */
+	/** The service local to the entry node of the request. */
 	callerService: string;
 	/** The key of the caller's workspace. */
 	workspaceKey: string;
-	/** The name of the caller's workspace, as targets are told. */
+	/** The name of the caller's workspace, sent to targets. */
 	workspace: string;
-	/** The target's proof that the body is its own. */
+	/** The target's signature of its answer. */
 	signature: string;
 	/** Present when the target did not run the request. */
 	notExecuted: string;
@@ -36,7 +36,7 @@
 ]);
 
 /**
- * The headers that go on to the next hop, name and value by turns.
+ * Returns the headers to forward to the next hop, names and values alternating.
  *
  * @param dropped - Lower-case names that this hop sets itself.
  */
@@ -62,7 +62,7 @@
 
 const plainOptions = new Set(['close', 'keep-alive']);
 
-/** Headers that the connection header names concern this connection as well. */
+/** Lists the headers named by the `Connection` header, which apply to this connection only. */
 function listNamed(
 	value: string,
 	known: Set<string> | undefined,
@@ -81,7 +81,7 @@
 	);
 }
 
-/** The value of the first header of that lower-case name. */
+/** Returns the value of the first header with the lower-case name. */
 export function findHeader(
 	headers: string[],
 	name: string,
@@ -95,7 +95,7 @@
 	return undefined;
 }
 
-/** The value of the only header of that lower-case name; undefined when there is none or more than one. */
+/** Returns the value of the only header with the lower-case name; undefined if there is none or more than one. */
 export function findOnlyHeader(
 	headers: string[],
 	name: string,
--- a/packages/mesh/src/listening.ts
+++ b/packages/mesh/src/listening.ts
@@ -1,13 +1,13 @@
-/** Listening on an address, for every listener of a node. */
+/** Binds the listeners of a node to their addresses. */
 import {once} from 'node:events';
 import type {Server} from 'node:net';
 
-/** Connections that may wait to be accepted: a burst of callers that each open their own. */
+/** Maximum connections waiting to be accepted, for bursts of callers that each open a connection. */
 const backlog = 4096;
 
 /**
- * Listens on `ip:port` and gives the address that it got, for a port that was
- * 0. It rejects with Node's own error, such as EADDRINUSE.
+ * Listens on `ip:port` and returns the bound address, which differs if the port
+ * is 0. Rejects with Node's error, such as EADDRINUSE.
  */
 export async function listenOn(
 	server: Server,
--- a/packages/mesh/src/load-report.ts
+++ b/packages/mesh/src/load-report.ts
@@ -1,25 +1,25 @@
-/** Tells the other nodes when the load of the target beside this one has changed by enough to matter. */
+/** Reports the load of the local target to the other nodes when it has changed significantly. */
 import type {Clock} from '@egretspoke/shared';
 import {idleLoad, type TargetLoad} from './exchange.js';
 
-/** What the report needs. */
+/** Dependencies of the report. */
 export type LoadReportOptions = {
 	clock: Clock;
-	/** Ends the report. */
+	/** Stops the report. */
 	signal: AbortSignal;
 	load: () => TargetLoad;
-	/** How many nodes have to be told. */
+	/** Number of nodes that receive each report. */
 	listeners: () => number;
 	report: (load: TargetLoad) => void;
 };
 
-/** Milliseconds between two reports of a changed load to all listeners, for each of them: 50 hear every 400 ms. */
+/** Interval between reports per listener, in milliseconds: with 50 listeners, each receives one every 400 ms at most. */
 const reportIntervalPerListener = 8;
-/** The change of occupancy that is worth a report. */
+/** Minimum change of occupancy or failure share that is reported. */
 const minReportedChange = 0.2;
-/** The change of the shed level that is; what it refuses follows it at once. */
+/** Minimum change of the shed level that is reported; it takes effect on admission at once. */
 const minReportedLevelChange = 0.04;
-/** The occupancy below which a target has room in any case; changes there are told by its outcomes only. */
+/** Occupancy below which a target has free slots in any case; changes below it are reported only with outcomes of requests. */
 const busyOccupancy = 0.5;
 
 /** Creates a report that has not started. */
--- a/packages/mesh/src/local-candidate.ts
+++ b/packages/mesh/src/local-candidate.ts
@@ -1,11 +1,11 @@
-/** The target beside this node as one that may be chosen. */
+/** The local target as a candidate of target selection. */
 import type {TargetCandidate} from './directory.js';
 import type {TargetDispatcher} from './target-dispatcher.js';
 
-/** Stands for this node's own target among those that were tried; no node has an empty name. */
+/** The node name of the local target among the tried ones; no node has an empty name. */
 export const localNode = '';
 
-/** Its state as of now; it is doubtful while this node stops. */
+/** Creates the candidate with its current load; it is doubtful while this node is stopping. */
 export function createLocalCandidate(
 	dispatcher: TargetDispatcher,
 	isDoubtful: boolean,
--- a/packages/mesh/src/mesh-reporter.ts
+++ b/packages/mesh/src/mesh-reporter.ts
@@ -1,14 +1,14 @@
-/** How the parts of a mesh node tell what they decided and what changed. */
+/** The interface through which modules of a mesh node log decisions and changes. */
 import type {EventFields, EventName} from '@egretspoke/observability';
 
-/** Details of an event; small values only. */
+/** Details of an event; values must be small. */
 export type ReportDetails = NonNullable<EventFields['details']>;
 
-/** Takes events; never blocks. */
+/** Logs events without blocking. */
 export type MeshReporter = {
-	/** Something about this node, a peer or the store. */
+	/** Logs an event of this node, a peer or the store. */
 	notice(name: EventName, details?: ReportDetails): void;
-	/** Something about one request. */
+	/** Logs a decision about one request. */
 	decision(
 		name: EventName,
 		request: string,
--- a/packages/mesh/src/profile-updates.ts
+++ b/packages/mesh/src/profile-updates.ts
@@ -1,29 +1,29 @@
-/** The periods in which a node learns its target's calls and works out the pressure on routes. */
+/** Updates the call profile of the target and the route pressure periodically, and announces changed profiles. */
 import type {Clock} from '@egretspoke/shared';
 import {profilePeriod, type CallProfile} from './decisions/call-profile.js';
 import {createPacedNews} from './paced-news.js';
 import {pressureRefreshInterval, type RoutePressure} from './route-pressure.js';
 import type {Ticker} from './ticker.js';
 
-/** What the learning needs. */
+/** Dependencies of the updates. */
 export type ProfileUpdatesOptions = {
 	clock: Clock;
 	ticker: Ticker;
-	/** Ends the learning. */
+	/** Stops the announcements. */
 	signal: AbortSignal;
 	profile: Pick<CallProfile, 'update'>;
 	pressure: Pick<RoutePressure, 'refresh'>;
-	/** Something was learnt. */
+	/** The profile changed. */
 	onLearnt: () => void;
-	/** Tells the others what was learnt. */
+	/** Sends the profile to the other nodes. */
 	announce: () => void;
 };
 
-/** Milliseconds between two announcements of profiles, at first and at most; they change most in the first seconds. */
+/** Initial and maximum interval between announcements, in milliseconds; profiles change most in the first seconds. */
 const firstAnnouncementDelay = 900;
 const maxAnnouncementInterval = 3000;
 
-/** Creates the learning, which has not started. */
+/** Creates the updates, not started yet. */
 export function createProfileUpdates(options: ProfileUpdatesOptions): {
 	start(): void;
 } {
--- a/packages/mesh/src/repeated-offers.ts
+++ b/packages/mesh/src/repeated-offers.ts
@@ -1,4 +1,4 @@
-/** What the target beside this node declines, and how often it is offered a request again. */
+/** Tracks which requests the local target declines, and limits repeated offers of them. */
 import type {MeshPolicy} from './decisions/mesh-policy.js';
 import {
 	createOfferBudget,
@@ -10,32 +10,32 @@
 import {createRecentShare} from './decisions/recent-share.js';
 import type {ForwardedRequest, Outcome} from './exchange.js';
 
-/** What the offers need. */
+/** Dependencies of the offers. */
 export type RepeatedOffersOptions = {
 	policy: Pick<MeshPolicy, 'has'>;
-	/** The bound on repeats at a service, over all nodes. */
+	/** Limit on repeated offers to a service, over all nodes. */
 	budget: OfferBudgetOptions;
 };
 
-/** The offers to one target; instants by the steady clock, in milliseconds. */
+/** The offers to one target; times on the monotonic clock, in milliseconds. */
 export type RepeatedOffers = {
-	/** The target is handed a request. */
+	/** Records a request that is sent to the target. */
 	recordStart(request: ForwardedRequest, now: number): void;
-	/** What came of one offer. */
+	/** Records the outcome of one offer. */
 	recordOffer(outcome: Outcome, now: number): void;
-	/** What came of the request in the end. */
+	/** Records the final outcome of the request. */
 	recordEnd(outcome: Outcome, now: number): void;
-	/** The target makes a call; gives the share, from 0 to 1, of its work that is a repeat. */
+	/** Records a call of the target; returns the share, from 0 to 1, of the target's work that is a repeat. */
 	recordCall(): number;
-	/** Takes one more offer of a declined request from the budget; false when none is left. */
+	/** Takes another offer of a declined request from the budget; false if none is left. */
 	take(now: number): boolean;
-	/** The share of the latest offers that were declined. */
+	/** The share of recent offers that were declined. */
 	declined(now: number): number;
-	/** The share of the latest requests that ended declined. */
+	/** The share of recent requests whose final outcome was declined. */
 	unserved(now: number): number;
 };
 
-/** Creates the offers to a target that got nothing yet. */
+/** Creates the offers to a target without requests so far. */
 export function createRepeatedOffers({
 	policy,
 	budget: budgetOptions,
--- a/packages/mesh/src/request-forwarding.ts
+++ b/packages/mesh/src/request-forwarding.ts
@@ -1,11 +1,11 @@
 /**
- * One request's way through the entry: the choice of its targets, what may be
- * sent again, and its one final answer.
+ * Forwards one request from the entry node: selects targets, retries, and
+ * returns exactly one final answer.
  *
- * What must not run twice goes to another target only with proof that the
- * first one never got it. A refusal with a time to come back says "not run",
- * so it is given only while no attempt can have run; otherwise the answer is
- * a failure that promises nothing.
+ * A request that isn't idempotent is sent to another target only with proof
+ * that the first one did not run it. A 503 with Retry-After certifies "not
+ * run", so it is returned only while no attempt can have run; otherwise the
+ * answer is a 502, which leaves the outcome open.
  */
 import type {MeshMetrics} from '@egretspoke/observability';
 import {isQuarantined, type Suspect} from '@egretspoke/quarantine';
@@ -35,7 +35,7 @@
 import type {TableRoute} from './route-table.js';
 import type {Suspects} from './suspects.js';
 
-/** What every passage of a node needs. */
+/** Dependencies shared by all forwarded requests of a node. */
 export type ForwardingOptions = {
 	clock: Clock;
 	random: Random;
@@ -46,9 +46,9 @@
 	innerRoutes: InnerRoutes;
 	graph: CallGraph;
 	pressure: RoutePressure;
-	/** Requests under which targets crashed. */
+	/** Registry of requests during which targets crashed. */
 	suspects: Pick<Suspects, 'lookUp'>;
-	/** A route was asked for that the other nodes don't know to be asked for here. */
+	/** Called on a request to a route that the other nodes don't yet have as requested at this node. */
 	onNewRoute: () => void;
 	policy: MeshPolicy;
 	reporter: MeshReporter;
@@ -56,34 +56,38 @@
 	isStopping: () => boolean;
 };
 
-/** The way that a request takes, and its place among others, 0 for the most urgent. */
+/** The route of a request and its urgency, 0 for the most urgent. */
 export type ForwardingRoute = {
 	route: TableRoute;
 	urgency: number;
-	/** It is about to go to a target for the first time. */
+	/** Called before the first attempt. */
 	onAdmitted: () => void;
 };
 
-/** Where a passage ends; one of the two is called, once. */
+/** Callbacks for the end of a forwarded request; exactly one of them is called, once. */
 export type ForwardingCallbacks = {
 	answer: (final: FinalAnswer) => void;
-	/** The caller has gone. */
+	/** The caller disconnected. */
 	onLeft: () => void;
 };
 
-/** Refusals on the way after which the request is refused for good: each costs a hop of its time. */
+/** Maximum refusals of one request before it is rejected: each costs a hop of its remaining time. */
 const maxRefusals = 3;
-/** The part of a new request's objective that it may wait for a slot; its work and its calls need the rest. */
+/** Maximum wait of a new request for a slot, as a ratio of its objective; its work and its calls need the rest. */
 const maxWaitRatioOfNewWork = 0.25;
 /**
- * The same for calls of work that has begun, since giving those up wastes what
- * was done already, and for new work that makes no calls.
+ * The same ratio for calls of running work, because rejecting those wastes the
+ * work already done, and for new work that makes no calls.
  */
 const maxWaitRatioNearCompletion = 0.6;
-/** Milliseconds below which another attempt has no chance to end in time. */
+/** Minimum time left for another attempt, in milliseconds; with less it can't complete in time. */
 const minTimeToRetry = 20;
 
-/** One request's way through the entry. */
+/**
+ * Forwards a request to a target of its route.
+ *
+ * @returns A function that reports that the caller disconnected.
+ */
 export function forwardRequest(
 	options: ForwardingOptions,
 	request: CallerRequest,
@@ -113,17 +117,17 @@
 	});
 	const repeatShareOfCall = isInner ? dispatcher.recordCall(route.name) : 0;
 	const tried = new Set<string>();
-	/** Targets that got the request. */
+	/** Attempts that reached a target. */
 	let arrivals = 0;
 	let refusals = 0;
-	/** Targets that crashed while they had the request. */
+	/** Targets that crashed while they ran the request. */
 	let crashes = 0;
-	/** The share of requests like this one that is refused now. */
+	/** The share of requests of this kind that is currently shed. */
 	let shed = 0;
 	let mayHaveRun = false;
-	/** The node whose target answered last. */
+	/** The node of the last target that answered. */
 	let answeredBy = '';
-	/** A target's own failure, for the caller if no other target does better. */
+	/** A target's failure answer, returned if no retry succeeds. */
 	let failure: FinalAnswer | undefined;
 	let isOver = false;
 	let cancelAttempt: () => void = () => undefined;
@@ -147,11 +151,11 @@
 	const retryAfterObjective = options.policy.has('returnInObjective')
 		? route.objective
 		: Number.POSITIVE_INFINITY;
-	/** Milliseconds until the caller gives up, which may be later than the timeout of the route. */
+	/** Milliseconds until the caller's own timeout, which may be later than the timeout of the route. */
 	const callerTimeLeft = () =>
 		request.arrivedAt + (request.timeLeft ?? route.timeout) - clock.now();
 
-	/** The final answer of a request that no target will answer. */
+	/** Returns the final answer of a request without further attempts. */
 	const giveUp = (reason: string) => {
 		if (failure) {
 			finish(failure);
@@ -186,11 +190,11 @@
 		return candidates;
 	};
 
-	/** The share of new requests like this one that is refused for the sake of the services that they need. */
+	/** The share of new requests of this kind that is shed to protect the services they need. */
 	const shareRefused = (): number =>
 		options.policy.has('shedNew') ? pressure.shareRefused(work) : 0;
 
-	/** It has run, under this id or another one, so nobody may be told that it has not. */
+	/** A quarantined request has run before, under this id or another one, so its answer must not certify "not run". */
 	const refuseQuarantined = (suspect?: Suspect) => {
 		metrics.requestQuarantined();
 		reporter.decision('quarantined', request.requestId, 'quarantined', {
@@ -286,7 +290,7 @@
 		return budget.take(service, now, directory.size(), part);
 	};
 
-	/** Whether another target may get it, within the attempts of the route and the shared budget. */
+	/** Takes a retry, if the attempts of the route and the shared budget allow one. */
 	const tryTakeRetry = (reason: string, node: string): boolean => {
 		const now = clock.now();
 		const isAllowed =
@@ -323,8 +327,8 @@
 			arrivals++;
 			answeredBy = node;
 			const answer: FinalAnswer = {kind: 'target', status, headers, body};
-			// Most failures come from refused calls while load is shed; repeating the
-			// whole tree of calls would only make more of them.
+			// While load is shed, most failures come from refused calls; repeating the
+			// whole call tree would only cause more of them.
 			const shouldRetry =
 				isTargetFailure(status) &&
 				route.isIdempotent &&
@@ -346,7 +350,7 @@
 			) {
 				giveUp(reason);
 			} else if (reason === 'noRoom' || reason === 'waitedTooLong') {
-				// Another target gets it only if it is known to have room: else the refusal would be handed around.
+				// Try another target only if one is known to have a free slot; otherwise the request would be refused by one target after the other.
 				const hasRoom = listCandidates().some(({occupancy}) => occupancy < 1);
 				if (hasRoom) {
 					attempt();
--- a/packages/mesh/src/request-parts.ts
+++ b/packages/mesh/src/request-parts.ts
@@ -1,11 +1,11 @@
-/** The parts of a request on its way that a repeat of it shares. */
+/** The parts of a forwarded request that identify it across repeats. */
 import type {RequestParts} from '@egretspoke/quarantine';
 import type {ForwardedRequest} from './exchange.js';
 import {findHeader, type HeaderNames} from './header-names.js';
 
 const noBody = new Uint8Array();
 
-/** The parts; its caller is its workspace, where there are workspaces. */
+/** Returns the parts of a request; with workspaces, its caller is its workspace. */
 export function partsOf(
 	{
 		method,
--- a/packages/mesh/src/route-pressure.ts
+++ b/packages/mesh/src/route-pressure.ts
@@ -1,4 +1,7 @@
-/** How much of each kind of new work is to be refused, by the levels that targets report and the call graph. */
+/**
+ * Determines which share of each kind of new work an entry node sheds, from the
+ * shed levels reported by targets and the call graph.
+ */
 import type {Clock} from '@egretspoke/shared';
 import type {CallGraph} from './decisions/call-graph.js';
 import type {MeshPolicy} from './decisions/mesh-policy.js';
@@ -10,7 +13,7 @@
 	type ShedSlice,
 } from './decisions/shed-order.js';
 
-/** What the pressure needs. */
+/** Dependencies of the route pressure. */
 export type RoutePressureOptions = {
 	clock: Clock;
 	graph: CallGraph;
@@ -19,32 +22,32 @@
 	levels: () => Map<string, number>;
 };
 
-/** New work as far as it matters for who is refused. */
+/** The properties of new work that decide whether it is shed. */
 export type NewWork = {
 	route: string;
-	/** The service that the route chose. */
+	/** The service selected by the route. */
 	service: string;
 	/** 0 is the highest. */
 	priority: number;
 };
 
-/** The pressure on the work that callers ask for at one node. */
+/** The overload of services, as it applies to the requests of one entry node. */
 export type RoutePressure = {
-	/** A caller asks for the work. */
+	/** Records a caller's request. */
 	recordRequest(work: NewWork): void;
-	/** The share of such work that is refused, for the sake of any service that it needs. */
+	/** The share of such work that is shed, from 0 to 1: the maximum over the services it needs. */
 	shareRefused(work: NewWork): number;
-	/** Forgets a part of what was asked for; to be called in each period. */
+	/** Decays the request counts; called once per `pressureRefreshInterval`. */
 	refresh(): void;
 };
 
-/** Milliseconds between two refreshes. */
+/** Interval between refreshes, in milliseconds. */
 export const pressureRefreshInterval = 600;
-/** Milliseconds for which the levels are taken as they were. */
+/** Milliseconds for which the levels are cached. */
 const levelCacheDuration = 50;
-/** The part of the counted requests that each period leaves: some ten seconds count. */
+/** Decay factor of the request counts per refresh, which makes a window of about ten seconds. */
 const memory = 0.95;
-/** Requests below which a kind is forgotten. */
+/** Decayed count below which a kind of work is dropped. */
 const minRequests = 0.01;
 
 type RecentWork = NewWork & {requests: number};
@@ -53,7 +56,7 @@
 
 type SlicesByKind = Map<string, ShedSlice[]>;
 
-/** Creates the pressure of a node that nobody has asked yet. */
+/** Creates the pressure of a node without recorded requests. */
 export function createRoutePressure({
 	clock,
 	graph,
@@ -61,7 +64,7 @@
 	levels,
 }: RoutePressureOptions): RoutePressure {
 	const recentWork = new Map<string, RecentWork>();
-	/** By the service that is full, worked out when it is needed. */
+	/** The shed order by overloaded service, computed on demand. */
 	const slicesByService = new Map<string, SlicesByKind>();
 	let overloaded: OverloadedService[] = [];
 	let levelsReadAt = Number.NEGATIVE_INFINITY;
@@ -101,7 +104,7 @@
 		return slices.get(kind);
 	};
 
-	/** Work of which too little is known may need any service. */
+	/** Work with an unknown call graph may need any service. */
 	const mayNeed = ({route, service: first}: NewWork, service: string) =>
 		first === service ||
 		!policy.has('levelByRoute') ||
--- a/packages/mesh/src/route-table.ts
+++ b/packages/mesh/src/route-table.ts
@@ -1,4 +1,4 @@
-/** Finds the route of a request: its host, then the longest prefix of its path; and the workspace of its key. */
+/** Looks up the route of a request, by host and longest path prefix, and the workspace of its key. */
 import {
 	createWeightedRotation,
 	type WeightedRotation,
@@ -6,27 +6,27 @@
 import type {Route, RoutingConfiguration} from './route.js';
 import {digestKey, type Workspace} from './workspace.js';
 
-/** A route as the table holds it. */
+/** A route with its service rotation. */
 export type TableRoute = Route & {
-	/** Spreads the requests over the route's services. */
+	/** Distributes the requests over the route's services by weight. */
 	rotation: WeightedRotation;
 };
 
 /** The routes of one configuration. */
 export type RouteTable = {
 	version: number;
-	/** Whether requests of routes that aren't public need a key. */
+	/** Whether requests to routes that aren't public need a key. */
 	hasWorkspaces: boolean;
 	findRoute(host: string, path: string): TableRoute | undefined;
-	/** The workspace that holds the key. */
+	/** Returns the workspace of the key, undefined if there is none. */
 	findWorkspace(key: string): Workspace | undefined;
-	/** The place of a request among all, 0 for the most urgent: by its workspace first, then by its route. */
+	/** Returns the rank of a request, 0 for the most urgent: by the priority of its workspace, then of its route. */
 	urgencyOf(route: Route, workspace: Workspace | undefined): number;
 };
 
 type HostRoutes = Map<string, TableRoute>;
 
-/** Builds the table of a configuration. */
+/** Creates the route table of a configuration. */
 export function createRouteTable(
 	configuration: RoutingConfiguration,
 ): RouteTable {
@@ -70,14 +70,14 @@
 	return hosts;
 }
 
-/** The place of each priority among those that are in use. */
+/** Maps each priority in use to its rank, from 0. */
 function createRanks(items: Array<{priority: number}>): Map<number, number> {
 	const priorities = [...new Set(items.map(({priority}) => priority))];
 	priorities.sort((left, right) => left - right);
 	return new Map(priorities.map((priority, rank) => [priority, rank]));
 }
 
-/** Prefixes end with a slash, so only the slashes of the path can end one. */
+/** Prefixes end with a slash, so only slashes of the path are candidates for the end of a prefix. */
 function findLongestPrefix(
 	routes: HostRoutes,
 	path: string,
--- a/packages/mesh/src/route.ts
+++ b/packages/mesh/src/route.ts
@@ -1,56 +1,56 @@
 /**
- * What operators decide about traffic: routes, the services behind them and
- * the limits of callers. Schemas come first; every type is inferred from one.
+ * Schemas of the operators' traffic configuration: routes, their services and
+ * the limits for callers. Types are inferred from the schemas.
  */
 import {z} from 'zod';
 import {workspacesSchema} from './workspace.js';
 
 const milliseconds = z.number().positive();
 
-/** A part of a route's traffic. */
+/** A service of a route, with its weight. */
 export const weightedServiceSchema = z.object({
 	service: z.string().min(1),
-	/** Its part of the requests, relative to the other weights of the route. */
+	/** Its share of the requests, relative to the other weights of the route. */
 	weight: z.number().nonnegative(),
 });
 
-/** Where requests of one host and path prefix go, and what may be done with them. */
+/** The handling of requests with one host and path prefix. */
 export const routeSchema = z.object({
 	name: z.string(),
 	host: z.string().min(1),
-	/** Begins and ends with a slash. */
+	/** Starts and ends with a slash. */
 	prefix: z.string().startsWith('/').endsWith('/'),
 	/** Whether a request may run more than once. */
 	isIdempotent: z.boolean(),
-	/** Milliseconds after which the caller has its final answer. */
+	/** Timeout of the final answer to the caller, in milliseconds. */
 	timeout: milliseconds,
-	/** Milliseconds within which an answer is worth most to its caller. */
+	/** Target latency in milliseconds, within which an answer has its full value to the caller. */
 	objective: milliseconds,
 	/** 0 is the highest. */
 	priority: z.number().int().nonnegative(),
-	/** The most targets that one request may be sent to. */
+	/** Maximum number of targets that one request may be sent to. */
 	attempts: z.number().int().positive(),
 	services: z.array(weightedServiceSchema).min(1),
-	/** Whether it takes requests without a workspace's key. */
+	/** Whether it accepts requests without a workspace key. */
 	isPublic: z.boolean().default(false),
 });
 
-/** What callers may send, and for how long they may stay idle. */
+/** Limits for callers' requests and idle connections. */
 export const callerLimitsSchema = z.object({
 	headerBytes: z.number().int().positive(),
 	bodyBytes: z.number().int().positive(),
-	/** Milliseconds for a caller to send its headers. */
+	/** Timeout for receiving a request's headers, in milliseconds. */
 	headerTime: milliseconds,
-	/** Milliseconds that a connection between two requests is kept. */
+	/** Keep-alive timeout of an idle connection, in milliseconds. */
 	idleTime: milliseconds,
 });
 
-/** One accepted configuration, whole. */
+/** A complete accepted configuration. */
 export const routingConfigurationSchema = z.object({
 	version: z.number().int().nonnegative(),
 	routes: z.array(routeSchema),
 	limits: callerLimitsSchema,
-	/** Without them no request needs a key. */
+	/** If absent, no request needs a key. */
 	workspaces: workspacesSchema.optional(),
 });
 
--- a/packages/mesh/src/target-access.ts
+++ b/packages/mesh/src/target-access.ts
@@ -1,48 +1,48 @@
-/** The connections to the target beside this node, and whether it is reached by them. */
+/** Manages the client of the local target and tracks whether the target is reachable. */
 import type {Clock} from '@egretspoke/shared';
 import type {HeaderNames} from './header-names.js';
 import type {MeshReporter} from './mesh-reporter.js';
 import {createTargetClient, type TargetClient} from './target-client.js';
 import type {TargetRecord} from './target-record.js';
 
-/** What the access needs. */
+/** Dependencies of the access. */
 export type TargetAccessOptions = {
 	clock: Clock;
 	headerNames: HeaderNames;
 	reporter: MeshReporter;
-	/** The target can't be reached or has been replaced; true once it answers again. */
+	/** Called with false when the target is unreachable or was replaced, with true once it answers again. */
 	onReachable: (isReachable: boolean) => void;
 	/** A connection could not be opened. */
 	onConnectionRefused: () => void;
 };
 
-/** The access to one target after the other. */
+/** The access to the current local target. */
 export type TargetAccess = {
-	/** Undefined while no target may be called. */
+	/** The client of the target; undefined if there is none. */
 	client(): TargetClient | undefined;
 	isReachable(): boolean;
-	/** Calls that target from now on. */
+	/** Replaces the client by one for the given target. */
 	open(record: TargetRecord): void;
-	/** Calls nobody from now on; what runs goes on. */
+	/** Removes the client; running requests continue. */
 	close(): void;
-	/** The target has announced itself; the next request shows whether it is reached. */
+	/** Marks the target as reachable after an announcement; the next request shows whether it is. */
 	assumeReachable(): void;
-	/** The target has answered. */
+	/** Records an answer of the target. */
 	recordAnswer(): void;
 	/**
-	 * Opens new connections in place of the idle ones. Connections can go silent
-	 * for good without a reset, all at once; each would cost the request that it
-	 * is used for next. A target ends its work by the time that it was given, so
-	 * one that says nothing at all by then may have lost its connections. At most
-	 * once in a while, for a hanging target looks the same.
+	 * Replaces the idle connections. Connections can die without a reset, all at
+	 * once, and each would then cost the next request sent over it. A target
+	 * finishes its work by the deadline it was given, so one that has not responded
+	 * by then may have lost its connections. A hanging target looks the same, so
+	 * renewals are rate-limited.
 	 */
 	renew(): void;
 };
 
-/** Milliseconds between two renewals of the connections: a check of a target's health takes no longer. */
+/** Minimum interval between renewals of the connections, in milliseconds; a target's health check takes no longer. */
 const minRenewalInterval = 2000;
 
-/** Creates an access to nobody. */
+/** Creates an access without a target. */
 export function createTargetAccess(options: TargetAccessOptions): TargetAccess {
 	const {clock, headerNames, reporter} = options;
 	let current: TargetRecord | undefined;
@@ -76,7 +76,7 @@
 		});
 	};
 
-	/** A client that was closed may still tell of the target before. */
+	/** A closed client may still report events of the previous target. */
 	const isCurrent = (record: TargetRecord) =>
 		current?.targetId === record.targetId &&
 		current.startedAt === record.startedAt;
--- a/packages/mesh/src/target-client.ts
+++ b/packages/mesh/src/target-client.ts
@@ -1,11 +1,12 @@
 /**
- * Requests to the target beside this node, over connections that are kept open.
+ * HTTP client for the local target, over persistent connections.
  *
- * A connection can hand out what belongs to no request: a second answer, an
- * answer that was cut short, bytes that are no answer. The caller would get
- * somebody else's data as a success. So an answer counts only when it repeats
- * the request's id, is whole by its framing, and a success bears the target's
- * signature; anything else ends the connection, and the request is lost.
+ * A connection can deliver bytes that belong to no request: a second answer, a
+ * truncated answer, or invalid data. A caller would then receive another
+ * caller's data as a success. Therefore an answer is accepted only if it repeats
+ * the request's id, is complete by its framing, and, if it is a success,
+ * carries the target's signature. Otherwise the connection is closed and the
+ * request counts as lost.
  */
 import {Buffer} from 'node:buffer';
 import type {Dispatcher} from 'undici';
@@ -23,30 +24,30 @@
 	targetId: string;
 };
 
-/** Calls one target. */
+/** The client of one target. */
 export type TargetClient = {
 	run(
 		request: ForwardedRequest,
 		timeLeft: number,
 		onOutcome: (outcome: Outcome) => void,
 	): () => void;
-	/** Closes what is idle now, and the rest as its requests end. */
+	/** Closes idle connections now, and the others when their requests end. */
 	close(): void;
 };
 
-/** What a client needs besides its endpoint. */
+/** Dependencies of a client. */
 export type TargetClientOptions = {
 	endpoint: TargetEndpoint;
 	headerNames: HeaderNames;
-	/** The target answered that it is another one than the expected. */
+	/** The target answered that it is not the expected one. */
 	onReplaced: () => void;
 	/** No connection could be opened. */
 	onUnreachable: (detail: string) => void;
 };
 
-/** The status of a target that is another one than the expected, and did not run the request (RFC 9110, section 15.5.20). */
+/** The status of a target that is not the expected one and did not run the request (RFC 9110, section 15.5.20). */
 const misdirectedStatus = 421;
-/** The largest answer that is held in memory, in bytes. */
+/** Maximum size of an answer's body, which is buffered in memory, in bytes. */
 const maxAnswerBytes = 64 * 1024 * 1024;
 
 /** Creates the client of a target. */
@@ -128,7 +129,7 @@
 
 	const abortExchange = (outcome: Outcome) => {
 		end(outcome);
-		controller?.abort(new Error('the answer is not wanted'));
+		controller?.abort(new Error('answer rejected'));
 	};
 
 	return {
@@ -136,7 +137,7 @@
 			onRequestStart(started) {
 				controller = started;
 				if (isOver) {
-					started.abort(new Error('given up before it was sent'));
+					started.abort(new Error('request cancelled before it was sent'));
 					return;
 				}
 
@@ -209,12 +210,12 @@
 		},
 		cancel() {
 			isOver = true;
-			controller?.abort(new Error('the caller has gone'));
+			controller?.abort(new Error('caller disconnected'));
 		},
 	};
 }
 
-/** Answers that end with their headers, whatever these say (RFC 9112, section 6.3). */
+/** Whether an answer has no body, regardless of its framing headers (RFC 9112, section 6.3). */
 function hasNoBody(method: string, status: number): boolean {
 	return method === 'HEAD' || status === 204 || status === 304;
 }
@@ -232,7 +233,7 @@
 	return flat;
 }
 
-/** `undici` takes Node's own kind of bytes; nothing is copied. */
+/** Converts bytes to the `Buffer` that `undici` requires, without copying. */
 // eslint-disable-next-line @typescript-eslint/no-restricted-types -- the library's type.
 function toBuffer(bytes: Uint8Array): Buffer {
 	return Buffer.from(bytes.buffer, bytes.byteOffset, bytes.byteLength);
--- a/packages/mesh/src/target-connections.ts
+++ b/packages/mesh/src/target-connections.ts
@@ -1,48 +1,48 @@
 /**
- * The connections to one target, each for one request at a time.
+ * The connection pool of one target; each connection carries one request at a
+ * time.
  *
- * An answer that states no length ends with its connection, and is whole only
- * if that was closed and not reset; else its caller gets half of it as the
- * whole. Neither the library nor Node tells the two apart: the library takes a
- * reset for an end, and Node reports an end when the last bytes and the reset
- * are read in one turn. So each connection remembers a reset that it saw, and
- * asks the system by a write: a connection that was reset refuses it, one whose
- * other side was closed takes it. What is written, an empty line, no server
- * takes for a request (RFC 9112, section 2.2).
+ * An answer without a length ends with its connection and is complete only if
+ * that was closed, not reset; otherwise a truncated answer would pass as whole.
+ * `undici` treats a reset as an end, and Node reports an end when the last bytes
+ * and the reset are read in the same tick. So each connection records resets
+ * and probes with a write: it fails after a reset, but succeeds if the other
+ * side closed. The probe is an empty line, which servers ignore (RFC 9112,
+ * section 2.2).
  */
 import type {Socket} from 'node:net';
 import {buildConnector, Client, type Dispatcher} from 'undici';
 
-/** A connection, opened when it is first used. */
+/** A connection, opened on first use. */
 export type TargetConnection = {
 	dispatch(
 		options: Dispatcher.DispatchOptions,
 		handler: Dispatcher.DispatchHandler,
 	): void;
-	/** Says whether its end was an ordinary one; to be asked while it is ending. */
+	/** Checks whether the connection was closed without a reset; to be called while it is ending. */
 	checkCleanClose(onResult: (wasClosed: boolean) => void): void;
-	/** Its request has ended; it may be used again. */
+	/** Returns the connection to the pool after its request has ended. */
 	release(): void;
 };
 
-/** The connections. */
+/** A pool of connections. */
 export type TargetConnections = {
-	/** An idle connection, the one used last, or a new one. */
+	/** Takes the most recently used idle connection, or creates one. */
 	take(): TargetConnection;
-	/** Closes what is idle now, and the rest as they are released. */
+	/** Closes idle connections now, and the others when they are released. */
 	close(): void;
 };
 
-/** Milliseconds for a connection to the same machine; a target that takes longer is down. */
+/** Timeout for connecting to the local machine, in milliseconds; a target that takes longer is down. */
 const connectTimeout = 500;
-/** Milliseconds that an idle connection is kept when the target names no time of its own. */
+/** Keep-alive timeout of an idle connection, in milliseconds, unless the target sends one. */
 const idleTime = 4000;
 
-/** Creates connections to `ip:port`; none is opened yet. */
+/** Creates a pool of connections to `ip:port`; none is opened yet. */
 export function createTargetConnections(address: string): TargetConnections {
 	const connector = buildConnector({
 		timeout: connectTimeout,
-		// Else Node itself refuses all writes after the other side's end.
+		// Otherwise Node rejects all writes after the other side has ended.
 		allowHalfOpen: true,
 	});
 	const idle: TargetConnection[] = [];
@@ -60,7 +60,7 @@
 			connect(options, callback) {
 				isReset = false;
 				connector(options, (...result) => {
-					// Before the library's own listener, so that it is known when that one ends the answer.
+					// Registered before `undici`'s own listener, so that the reset is recorded before that one ends the answer.
 					socket = result[1] ?? undefined;
 					socket?.once('error', () => {
 						isReset = true;
--- a/packages/mesh/src/target-dispatcher.ts
+++ b/packages/mesh/src/target-dispatcher.ts
@@ -1,10 +1,12 @@
 /**
- * The node's side of the target beside it: the only way to that target.
+ * Dispatches requests to the local target. Every request to that target passes
+ * through its own node.
  *
- * Whatever must hold of the target holds here without asking anybody: how much
- * it runs, in which order, that it gets nothing more once its leaving has been
- * acknowledged, and that a refusal is true. An entry with an old view of the
- * fleet costs a hop, never a promise.
+ * The target's guarantees are enforced here from local state alone: its
+ * concurrency, the order of requests, that it receives no new requests after
+ * its leaving was acknowledged, and that a refused request has not run. An
+ * entry node with a stale view of the fleet costs an extra hop, but breaks no
+ * guarantee.
  */
 import type {MeshMetrics, MeshReadings} from '@egretspoke/observability';
 import {
@@ -43,7 +45,7 @@
 import type {TargetRecord} from './target-record.js';
 import {startTargetRun, responseMargin, type TargetRun} from './target-run.js';
 
-/** What a gatekeeper needs. */
+/** Dependencies of a dispatcher. */
 export type TargetDispatcherOptions = {
 	clock: Clock;
 	wheel: DeadlineWheel;
@@ -51,30 +53,30 @@
 	reporter: MeshReporter;
 	metrics: MeshMetrics;
 	policy: MeshPolicy;
-	/** Learns what requests cause at the target. */
+	/** Estimates the calls and run times of the target's routes. */
 	profile: CallProfile;
-	/** The bound on repeats at a service, over all nodes. */
+	/** Limit on repeated offers to a service, over all nodes. */
 	retryBudget: OfferBudgetOptions;
-	/** Requests under which targets crashed. */
+	/** Registry of requests during which targets crashed. */
 	suspects: Pick<Suspects, 'lookUp' | 'noteCrash' | 'noteAnswer'>;
-	/** The target can't be reached or has been replaced; true once it answers again. */
+	/** Called with false when the target is unreachable or was replaced, with true once it answers again. */
 	onReachable: (isReachable: boolean) => void;
 };
 
-/** The only way to the target beside this node. */
+/** Dispatches requests to the local target. */
 export type TargetDispatcher = TargetChannel & {
-	/** Takes what is believed of the target now. */
+	/** Applies the current record of the target. */
 	setTarget(record: TargetRecord | undefined): void;
-	/** Whether a request for the service would be considered. */
+	/** Whether requests for the service are currently accepted for admission. */
 	serves(service: string): boolean;
-	/** Refuses everything from now on, since the node stops. */
+	/** Refuses all waiting and new requests, because the node is stopping. */
 	stop(): void;
-	/** The target makes a call to the route; gives the share, from 0 to 1, of its work that is a repeat. */
+	/** Records a call of the target to the route; returns the share, from 0 to 1, of the target's work that is a repeat. */
 	recordCall(route: string): number;
 	load(): TargetLoad;
 	/** Closes the connections to the target. */
 	close(): void;
-	/** Requests that run or wait. */
+	/** Number of running and waiting requests. */
 	openRequests(): number;
 	readings(): Pick<
 		MeshReadings,
@@ -82,12 +84,12 @@
 	>;
 };
 
-/** Offers after the first that one request may take: with half of them declined, one in a hundred needs more. */
+/** Maximum offers of one request after the first: with half of all offers declined, one request in a hundred needs more. */
 const maxRepeats = 6;
-/** Milliseconds below which another offer has no chance to end in time. */
+/** Minimum time left for another offer, in milliseconds; with less it can't complete in time. */
 const minTimeToRepeat = 20;
 type PendingRequest = WatchedRun & {
-	/** The instant at which the caller has its final answer. */
+	/** Deadline of the final answer to the caller, on the clock. */
 	until: number;
 	onOutcome: OutcomeHandler;
 	run?: TargetRun;
@@ -95,7 +97,7 @@
 	state: 'waiting' | 'running' | 'over';
 };
 
-/** Creates a gatekeeper without a target. */
+/** Creates a dispatcher without a target. */
 export function createTargetDispatcher(
 	options: TargetDispatcherOptions,
 ): TargetDispatcher {
@@ -253,7 +255,7 @@
 		});
 	};
 
-	/** Refuses a request that crashes targets, and keeps one that may do so until another such one has ended. */
+	/** Refuses a quarantined request; holds back a suspect one while another suspect one runs. */
 	const mayRunNow = (pending: PendingRequest): boolean => {
 		const suspect = suspects.lookUp(pending.request);
 		if (suspect && isQuarantined(suspect)) {
@@ -278,7 +280,7 @@
 		}
 	};
 
-	/** A run that was given up says at least that it takes longer. */
+	/** An aborted run is only a lower bound of the run time, so it counts only above the current estimate. */
 	const recordRunTime = (elapsed: number, isWhole: boolean) => {
 		const now = clock.now();
 		if (isWhole || elapsed > runTime.value(now)) {
@@ -342,7 +344,7 @@
 		}
 	};
 
-	/** Runs only while there is something to expire or a level to lower. */
+	/** The timer runs only while requests wait or the shed level may change. */
 	const scheduleTick = () => {
 		const now = clock.now();
 		const isIdle =
@@ -408,7 +410,7 @@
 				return;
 			}
 
-			// Each announcement says that the target lives; the next request shows whether it is reached.
+			// An announcement shows that the target is alive; the next request shows whether it is reachable.
 			access.assumeReachable();
 			if (isNewIncarnation) {
 				const waiting = removeWaiting();
@@ -487,7 +489,7 @@
 			isolation.withdraw(pending);
 		} else if (pending.state === 'running') {
 			pending.state = 'over';
-			// Work that may not be repeated is left to end: cutting it off spares nothing that its caller could still get.
+			// A request that isn't idempotent runs to its end: its caller can't retry it, so aborting it would save nothing for its caller.
 			if (pending.request.isIdempotent) {
 				pending.run?.cancel();
 			}
--- a/packages/mesh/src/target-levels.ts
+++ b/packages/mesh/src/target-levels.ts
@@ -1,4 +1,4 @@
-/** The shed level that this node reports for its target's sake. */
+/** The shed level that this node reports for its local target. */
 import type {MeshPolicy} from './decisions/mesh-policy.js';
 import {
 	createShedLevel,
@@ -6,17 +6,17 @@
 	type Pressure,
 } from './decisions/shed-level.js';
 
-/** The level. */
+/** The shed level of the local target. */
 export type TargetLevels = {
-	/** To be called in each period. */
+	/** Updates the level; called once per `shedPeriod`. */
 	update(pressure: Pressure): void;
-	/** For the target's own sake. */
+	/** The current level, from 0 to 1. */
 	own(): number;
-	/** Nothing would change with the next update. */
+	/** Whether the next update would change nothing. */
 	isIdle(unserved: number): boolean;
 };
 
-/** Creates levels of 0. */
+/** Creates a level of 0. */
 export function createTargetLevels(
 	policy: Pick<MeshPolicy, 'has'>,
 ): TargetLevels {
--- a/packages/mesh/src/target-record.ts
+++ b/packages/mesh/src/target-record.ts
@@ -1,48 +1,48 @@
 /**
- * What the target beside a node has said of itself, and which of it to believe.
+ * The record of a node's local target, built from the target's announcements.
  *
- * Announcements travel late and out of order: one that was sent before its
- * sender crashed may arrive after the next target has announced itself on the
- * same address, and a "ready" may arrive after the "leaving" that followed it.
- * Taken in the order of arrival, work goes to a target that has gone, or that
- * was promised no more work. So announcements are ordered by the start of the
- * target and then by their sequence, and leaving is final for one start.
+ * Announcements may arrive late and out of order: one sent before its sender
+ * crashed may arrive after the next target has announced itself on the same
+ * address, and a "ready" may arrive after the "leaving" that followed it.
+ * Applied in order of arrival, they would route requests to a target that is
+ * gone or was promised no more work. So announcements are ordered by start time
+ * and then by sequence, and leaving is final for one incarnation.
  */
 import {z} from 'zod';
 
-/** What a target says of itself; times in milliseconds. */
+/** A target's announcement of its state; times in milliseconds. */
 export const announcementSchema = z.object({
 	targetId: z.string().min(1),
-	/** When this start of the target began, in milliseconds since 1970 by its own clock. */
+	/** Start time of this incarnation, in milliseconds since 1970 by the target's clock. */
 	startedAt: z.number().int().nonnegative(),
-	/** Grows with each announcement of one start. */
+	/** Increases with each announcement of one incarnation. */
 	sequence: z.number().int().nonnegative(),
 	service: z.string().min(1),
 	address: z.string().min(1),
 	slots: z.number().int().positive(),
 	isLeaving: z.boolean(),
-	/** How much longer it is slow after its start. */
+	/** Remaining warm-up time, during which the target is slow. */
 	warmUpLeft: z.number().nonnegative(),
 });
 
 /** A target's announcement. */
 export type Announcement = z.output<typeof announcementSchema>;
 
-/** A target that says it has gone, or is about to go. */
+/** A target's notice that it has ended or is about to end. */
 export type Withdrawal = {targetId: string; startedAt: number | undefined};
 
-/** What this node believes of the target beside it. */
+/** The state of the local target as known to this node. */
 export type TargetRecord = Announcement & {hasLeft: boolean};
 
-/** What an announcement changes. */
+/** The effect of an announcement or withdrawal on the record. */
 export type RecordChange =
-	/** It is of another start than the one that is known, which is later. */
+	/** It belongs to another incarnation than the known one, and is not later. */
 	| {kind: 'stale'}
-	/** Known already, or only its sequence is new. */
+	/** Already known, or only the sequence has changed. */
 	| {kind: 'same'; record: TargetRecord}
 	| {kind: 'changed'; record: TargetRecord};
 
-/** Whether two announcements are of one start of one target. */
+/** Whether two announcements belong to the same incarnation of the same target. */
 export function isSameIncarnation(
 	left: Announcement,
 	right: Announcement,
@@ -50,10 +50,10 @@
 	return left.startedAt === right.startedAt && left.targetId === right.targetId;
 }
 
-/** What a farewell says of a target that never announced itself here. */
+/** Placeholder for fields of a target that withdrew without an announcement to this node. */
 const unknownField = 'unknown';
 
-/** Takes an announcement. */
+/** Applies an announcement to the known record. */
 export function applyAnnouncement(
 	known: TargetRecord | undefined,
 	announcement: Announcement,
@@ -68,7 +68,7 @@
 
 	const isLeaving = known.isLeaving || announcement.isLeaving;
 	const isNewer = announcement.sequence > known.sequence;
-	// A leaving is taken even when it comes late: it can't be undone by what was said before.
+	// A leaving is applied even if it arrives late: announcements sent before it can't undo it.
 	const record = {
 		...(isNewer ? announcement : known),
 		isLeaving,
@@ -79,17 +79,17 @@
 		record.slots !== known.slots ||
 		record.service !== known.service ||
 		record.address !== known.address;
-	// What was said before is acknowledged again: the first acknowledgement may
-	// have been lost, and a target that has none ends without waiting for its work.
+	// A repeated announcement is acknowledged again: the first acknowledgement may have
+	// been lost, and a target without one ends before its running requests complete.
 	return {kind: hasChanged ? 'changed' : 'same', record};
 }
 
 /**
- * Takes a target's farewell.
+ * Applies a target's withdrawal to the known record.
  *
- * @param now - Milliseconds since 1970. A node that has just started knows no
- * target yet; a farewell that reaches it then is kept as of this time, so that
- * an announcement from before it is not believed afterwards.
+ * @param now - Milliseconds since 1970. A node that has just started has no
+ * record yet; a withdrawal that arrives then is recorded with this start time,
+ * so that a delayed earlier announcement is rejected as stale.
  */
 export function applyWithdrawal(
 	known: TargetRecord | undefined,
--- a/packages/mesh/src/target-run.ts
+++ b/packages/mesh/src/target-run.ts
@@ -1,56 +1,56 @@
 /**
- * One request at the target: handed over, offered again while the target
- * declines it, given up when its caller leaves, cut off when it outlives its
- * time.
+ * Runs one request at the target: sends it, repeats it while the target
+ * declines it, and aborts it when its caller disconnects or its deadline has
+ * passed.
  */
 import type {Clock} from '@egretspoke/shared';
 import type {DeadlineWheel} from './deadline-wheel.js';
 import type {ForwardedRequest, Outcome} from './exchange.js';
 import type {TargetClient} from './target-client.js';
 
-/** What a run needs. */
+/** Dependencies of a run. */
 export type TargetRunOptions = {
 	clock: Clock;
 	wheel: DeadlineWheel;
 	client: TargetClient;
 	request: ForwardedRequest;
-	/** The instant at which the caller has its final answer. */
+	/** Deadline of the final answer to the caller, on the clock. */
 	until: number;
-	/** The target declined it; whether it may be offered once more. */
+	/** Whether a request that the target declined may be offered to it again. */
 	mayOfferAgain: () => boolean;
-	/** What came of each offer. */
+	/** Receives the outcome of each offer. */
 	onOffer: (outcome: Outcome) => void;
-	/** The slot is free; milliseconds of the last offer, undefined when they say nothing of the target's speed. */
+	/** The slot was released; receives the duration of the last offer in milliseconds, undefined unless the target answered it. */
 	onFreed: (duration: number | undefined) => void;
-	/** What came of the request; not called after a cancel has ended the run. */
+	/** Receives the outcome of the request; not called once a cancel has ended the run. */
 	onOutcome: (outcome: Outcome) => void;
-	/** The target said nothing in all the time that it was given. */
+	/** The target did not respond before the run was cut off. */
 	onUnresponsive: () => void;
 };
 
-/** A request that the target has. */
+/** A request that runs at the target. */
 export type TargetRun = {
-	/** Its caller has gone. */
+	/** Aborts the run after a grace period, because the caller disconnected. */
 	cancel(): void;
-	/** Offers after the first. */
+	/** Number of offers after the first. */
 	repeats(): number;
 };
 
-/** Milliseconds for an answer to get back to the caller before its time is over. */
+/** Milliseconds reserved for returning the answer to the caller before its deadline. */
 export const responseMargin = 8;
-/** Milliseconds after the end of a request's time until a target that has not stopped is cut off. */
+/** Milliseconds after a request's deadline until the run is cut off. */
 const overrunGrace = 100;
 /**
- * Milliseconds that a target may go on with work that its caller no longer
- * wants. When one call of a request fails, its target gives up the others, and
- * each of those targets the calls below it: cut off at once, every such call
- * costs a connection, which takes longer to open again than most of them have
- * left. Half a second is what callers' operators allow; this is half of it, since
- * a cancel takes a while to arrive.
+ * Milliseconds that a target may continue a cancelled request. When one call of
+ * a request fails, its target cancels the other calls, and those targets cancel
+ * the calls below them. Aborting each at once would cost a connection, which
+ * takes longer to reopen than most of these calls would still run. Callers'
+ * operators allow half a second; this is half of it, because a cancel takes
+ * some time to arrive.
  */
 const cancelGrace = 250;
 
-/** Hands a request to the target. */
+/** Sends a request to the target. */
 export function startTargetRun(options: TargetRunOptions): TargetRun {
 	const {clock, wheel, client, request, until} = options;
 	let isFreed = false;
--- a/packages/mesh/src/target-tracker.ts
+++ b/packages/mesh/src/target-tracker.ts
@@ -1,4 +1,4 @@
-/** What this node believes of the target beside it, and whom it tells when that changes. */
+/** Tracks the state of the local target and publishes its changes. */
 import type {Clock} from '@egretspoke/shared';
 import type {TargetDispatcher} from './target-dispatcher.js';
 import type {MeshReporter} from './mesh-reporter.js';
@@ -13,31 +13,31 @@
 	type Withdrawal,
 } from './target-record.js';
 
-/** What the belief needs. */
+/** Dependencies of the tracker. */
 export type TargetTrackerOptions = {
 	clock: Clock;
 	dispatcher: Pick<TargetDispatcher, 'setTarget'>;
 	reporter: MeshReporter;
-	/** Keeps a leaving beyond the life of this process. */
+	/** Persists a leaving, so that it survives a restart of this process. */
 	persistLeaving: (record: TargetRecord) => Promise<void>;
-	/** The other nodes have to know. */
+	/** Called when the state changed and the other nodes must be notified. */
 	onChange: () => void;
 };
 
-/** The belief. */
+/** The state of the local target. */
 export type TargetTracker = {
-	/** Takes what the target says of itself; false when a later start is known. */
+	/** Applies an announcement of the target; false if a later incarnation is known. */
 	announce(announcement: Announcement): Promise<boolean>;
-	/** Takes a target's farewell; false when it is none of the known target's. */
+	/** Applies a target's withdrawal; false if it belongs to another target or incarnation. */
 	withdraw(withdrawal: Withdrawal): Promise<boolean>;
-	/** Takes the leaving that an earlier start of this node acknowledged. */
+	/** Restores a leaving that this node acknowledged before its restart. */
 	restoreLeaving(record: TargetRecord): void;
 	setReachable(isReachable: boolean): void;
-	/** What the other nodes are told; undefined while no target is known. */
+	/** The state as sent to other nodes; undefined while no target is known. */
 	state(): TargetState | undefined;
 };
 
-/** Creates the belief that there is no target. */
+/** Creates a tracker without a target. */
 export function createTargetTracker(
 	options: TargetTrackerOptions,
 ): TargetTracker {
@@ -60,7 +60,7 @@
 		onChange();
 	};
 
-	/** An announcement without news still shows that the target lives. */
+	/** An announcement without changes still shows that the target is alive. */
 	const refresh = (record: TargetRecord) => {
 		target = record;
 		if (!isReachable) {
--- a/packages/mesh/src/workspace.ts
+++ b/packages/mesh/src/workspace.ts
@@ -1,28 +1,28 @@
 /**
- * Workspaces: who may send requests, how many, and how urgent they are.
+ * Workspaces: the keys, quotas and priorities of callers.
  *
- * A request names its workspace by a key. Keys are secrets of the callers, so a
- * node keeps and passes on only their digests; the key itself reaches neither
- * a target nor another node, a log line or a metric.
+ * A request identifies its workspace by a key. Keys are secrets of the callers,
+ * so nodes store and send only their digests; a key itself never reaches a
+ * target, another node, a log line or a metric.
  */
 import {hash} from 'node:crypto';
 import {z} from 'zod';
 
 export const workspaceSchema = z.object({
 	name: z.string().min(1),
-	/** Digests of the keys that name it; see `digestKey`. */
+	/** Digests of its keys; see `digestKey`. */
 	keyDigests: z.array(z.string().min(1)),
-	/** 0 is the highest; goes before the priority of a route. */
+	/** 0 is the highest; takes precedence over the priority of a route. */
 	priority: z.number().int().nonnegative(),
-	/** Requests a second over all nodes; 0 for no quota. */
+	/** Quota in requests per second over all nodes; 0 for no quota. */
 	rate: z.number().nonnegative(),
-	/** Requests beyond the rate that may come at once. */
+	/** Requests beyond the rate that are allowed in a burst. */
 	burst: z.number().nonnegative(),
 });
 
 export type Workspace = z.output<typeof workspaceSchema>;
 
-/** The workspaces of one configuration: neither a name nor a key stands for two of them. */
+/** The workspaces of one configuration; names and keys are unique. */
 export const workspacesSchema = z
 	.array(workspaceSchema)
 	.superRefine((workspaces, context) => {
@@ -52,10 +52,10 @@
 		}
 	});
 
-/** Characters of a digest that are kept: 128 bits, more than can be searched. */
+/** Length of a digest in characters: 128 bits, too many for a brute-force search. */
 const digestLength = 22;
 
-/** What a node keeps of a key. */
+/** Returns the digest of a key. */
 export function digestKey(key: string): string {
 	return hash('sha256', key, 'base64url').slice(0, digestLength);
 }
