--- a/packages/experiment/src/chain/chain-model.ts
+++ b/packages/experiment/src/chain/chain-model.ts
@@ -209,7 +209,7 @@
 		(gate.running() + gate.waiting()) / gate.limit();
 	const [left, right] = [draw(), draw()];
 	const target = occupancy(left) <= occupancy(right) ? left : right;
-	const request = {isNearItsEnd: true, priority: 0, patience};
+	const request = {isNearCompletion: true, priority: 0, maxWait: patience};
 	const decision = target.gate.offer(request, call, clock.now());
 	if (decision === 'run') {
 		run(clock, random, target, call);
--- a/packages/mesh/__tests__/gate.spec.ts
+++ b/packages/mesh/__tests__/gate.spec.ts
@@ -3,8 +3,8 @@
 import {egretspokePolicy} from '../src/decisions/mesh-policy.js';
 
 describe('a gate', () => {
-	const inner: GateRequest = {isNearItsEnd: true, priority: 2, patience: 300};
-	const fresh: GateRequest = {isNearItsEnd: false, priority: 0, patience: 300};
+	const inner: GateRequest = {isNearCompletion: true, priority: 2, maxWait: 300};
+	const fresh: GateRequest = {isNearCompletion: false, priority: 0, maxWait: 300};
 
 	const createFullGate = () => {
 		const gate = createGate<string>(egretspokePolicy.limitOf(21));
@@ -32,16 +32,16 @@
 	it('refuses at once what would wait longer than it may', () => {
 		const gate = createFullGate();
 		for (let index = 0; index < 40; index++) {
-			gate.offer({...fresh, patience: 1000}, `waiting ${index}`, 0);
+			gate.offer({...fresh, maxWait: 1000}, `waiting ${index}`, 0);
 		}
 
-		expect(gate.offer({...fresh, patience: 20}, 'late', 0)).to.equal('refuse');
+		expect(gate.offer({...fresh, maxWait: 20}, 'late', 0)).to.equal('refuse');
 	});
 
 	it('gives back those whose patience is over, once', () => {
 		const gate = createFullGate();
-		gate.offer({...fresh, patience: 50}, 'impatient', 0);
-		gate.offer({...fresh, patience: 500}, 'patient', 0);
+		gate.offer({...fresh, maxWait: 50}, 'impatient', 0);
+		gate.offer({...fresh, maxWait: 500}, 'patient', 0);
 		expect(gate.expire(100)).to.deep.equal(['impatient']);
 		expect(gate.expire(100)).to.deep.equal([]);
 		expect(gate.waiting()).to.equal(1);
--- a/packages/mesh/src/decisions/gate.ts
+++ b/packages/mesh/src/decisions/gate.ts
@@ -14,11 +14,11 @@
 /** A request as admission sees it. */
 export type GateRequest = {
 	/** It is a call of work that has begun, or new work that makes no calls. */
-	isNearItsEnd: boolean;
+	isNearCompletion: boolean;
 	/** 0 is the highest. */
 	priority: number;
 	/** The longest it may wait here, in milliseconds. */
-	patience: number;
+	maxWait: number;
 };
 
 type Waiting<T> = {
@@ -95,14 +95,14 @@
 			}
 
 			const rank = rankOf(request);
-			if (waitBehind(countAhead(rank)) > request.patience) {
+			if (waitBehind(countAhead(rank)) > request.maxWait) {
 				return 'refuse';
 			}
 
 			const entry = {
 				request,
 				item,
-				until: now + request.patience,
+				until: now + request.maxWait,
 				isGone: false,
 			};
 			(ranks[rank] ??= []).push(entry);
@@ -192,6 +192,6 @@
 	return undefined;
 }
 
-function rankOf({isNearItsEnd, priority}: GateRequest): number {
-	return isNearItsEnd ? 0 : priority + 1;
+function rankOf({isNearCompletion, priority}: GateRequest): number {
+	return isNearCompletion ? 0 : priority + 1;
 }
--- a/packages/mesh/src/exchange.ts
+++ b/packages/mesh/src/exchange.ts
@@ -16,14 +16,14 @@
 	/** It is a call of a target, made while that target runs another request. */
 	isInner: boolean;
 	/** It is a call of running work, or new work that makes no calls: no service is needed after this one. */
-	isNearItsEnd: boolean;
+	isNearCompletion: boolean;
 	/** 1 if another target received it before; for a call, the share of the calling target's work that is a repeat. */
 	repeatShare: number;
 	/** Known crashes of targets while they ran this request. */
 	crashes: number;
 	priority: number;
 	/** Maximum wait for a slot, in milliseconds. */
-	patience: number;
+	maxWait: number;
 	/** Milliseconds until the deadline of the final answer, at the time of sending. */
 	timeLeft: number;
 };
--- a/packages/mesh/src/mesh-node.ts
+++ b/packages/mesh/src/mesh-node.ts
@@ -301,7 +301,7 @@
 		signal: life.signal,
 		profile,
 		pressure,
-		onLearnt() {
+		onProfileChange() {
 			graph.take(self.node, settings.service, profile.profiles());
 		},
 		announce() {
--- a/packages/mesh/src/profile-updates.ts
+++ b/packages/mesh/src/profile-updates.ts
@@ -14,7 +14,7 @@
 	profile: Pick<CallProfile, 'update'>;
 	pressure: Pick<RoutePressure, 'refresh'>;
 	/** The profile changed. */
-	onLearnt: () => void;
+	onProfileChange: () => void;
 	/** Sends the profile to the other nodes. */
 	announce: () => void;
 };
@@ -41,7 +41,7 @@
 		start() {
 			ticker.schedule(profilePeriod, () => {
 				if (profile.update()) {
-					options.onLearnt();
+					options.onProfileChange();
 					announcements.note();
 				}
 			});
--- a/packages/mesh/src/request-forwarding.ts
+++ b/packages/mesh/src/request-forwarding.ts
@@ -102,7 +102,7 @@
 		Math.min(route.timeout, request.timeLeft ?? Number.POSITIVE_INFINITY);
 	const isInner = innerRoutes.isInner(route.name);
 	const work = {route: route.name, service, priority: urgency};
-	const isNearItsEnd =
+	const isNearCompletion =
 		isInner ||
 		(options.policy.has('nearEndFirst') &&
 			!options.graph.mayCall(route.name, service));
@@ -271,15 +271,15 @@
 		service,
 		isIdempotent: route.isIdempotent,
 		isInner,
-		isNearItsEnd,
+		isNearCompletion,
 		route: route.name,
 		repeatShare: arrivals > 0 ? 1 : repeatShareOfCall,
 		crashes: knownCrashes,
 		priority: urgency,
-		patience: Math.min(
+		maxWait: Math.min(
 			timeLeft / 2,
 			route.objective *
-				(isNearItsEnd ? maxWaitRatioNearCompletion : maxWaitRatioOfNewWork),
+				(isNearCompletion ? maxWaitRatioNearCompletion : maxWaitRatioOfNewWork),
 		),
 		timeLeft,
 	});
--- a/packages/mesh/src/target-dispatcher.ts
+++ b/packages/mesh/src/target-dispatcher.ts
@@ -365,7 +365,7 @@
 	const tick = () => {
 		const now = clock.now();
 		const isOverdue = ({offeredAt, request}: PendingRequest) =>
-			offeredAt + request.patience < now;
+			offeredAt + request.maxWait < now;
 		for (const pending of [
 			...admission.expire(now),
 			...isolation.takeOut(isOverdue),
