--- a/packages/mesh/src/caller-listener.ts
+++ b/packages/mesh/src/caller-listener.ts
@@ -48,7 +48,7 @@
 	close(): void;
 };
 
-/** Limits before a configuration is known: the defaults of Node. */
+/** Limits until a configuration is known: what Node allows by default. */
 const defaultLimits: CallerLimits = {
 	headerBytes: 16 * 1024,
 	bodyBytes: 64 * 1024 * 1024,
--- a/packages/mesh/src/graceful-shutdown.ts
+++ b/packages/mesh/src/graceful-shutdown.ts
@@ -12,26 +12,23 @@
 const idleCheckInterval = 50;
 
 /**
- * Resolves when no request is in flight, or shortly before the end of the grace
- * period.
+ * Resolves when nothing is in flight any more, or shortly before the end of the
+ * grace period.
  *
  * @param grace - Milliseconds from now until the process is killed.
- * @param look - Returns whether no request is in flight; called once per interval.
+ * @param checkIdle - Whether nothing is in flight; called in each period.
  */
 export async function waitUntilIdle(
 	clock: Clock,
 	grace: number,
 	checkIdle: () => boolean,
 ): Promise<void> {
-	const beganAt = clock.now();
+	const since = clock.now();
 	await new Promise<void>((resolve) => {
 		const check = () => {
-			const elapsed = clock.now() - beganAt;
+			const time = clock.now() - since;
 			const isIdle = checkIdle();
-			if (
-				(isIdle && elapsed >= minStopDuration) ||
-				elapsed >= grace - stopReserve
-			) {
+			if ((isIdle && time >= minStopDuration) || time >= grace - stopReserve) {
 				resolve();
 			} else {
 				clock.setTimer(idleCheckInterval, check);
--- a/packages/mesh/src/request-forwarding.ts
+++ b/packages/mesh/src/request-forwarding.ts
@@ -155,7 +155,7 @@
 	const callerTimeLeft = () =>
 		request.arrivedAt + (request.timeLeft ?? route.timeout) - clock.now();
 
-	/** Returns the final answer of a request without further attempts. */
+	/** Answers the request without further attempts. */
 	const giveUp = (reason: string) => {
 		if (failure) {
 			finish(failure);
@@ -350,7 +350,8 @@
 			) {
 				giveUp(reason);
 			} else if (reason === 'noRoom' || reason === 'waitedTooLong') {
-				// Try another target only if one is known to have a free slot; otherwise the request would be refused by one target after the other.
+				// Try another target only if one is known to have room; otherwise the
+				// request would be refused by one target after the other.
 				const hasRoom = listCandidates().some(({occupancy}) => occupancy < 1);
 				if (hasRoom) {
 					attempt();
--- a/packages/mesh/src/target-dispatcher.ts
+++ b/packages/mesh/src/target-dispatcher.ts
@@ -489,7 +489,8 @@
 			isolation.withdraw(pending);
 		} else if (pending.state === 'running') {
 			pending.state = 'over';
-			// A request that isn't idempotent runs to its end: its caller can't retry it, so aborting it would save nothing for its caller.
+			// A request that isn't idempotent runs to its end: its caller can't retry it,
+			// so aborting it would save nothing.
 			if (pending.request.isIdempotent) {
 				pending.run?.cancel();
 			}
--- a/packages/mesh/src/target-run.ts
+++ b/packages/mesh/src/target-run.ts
@@ -44,9 +44,9 @@
  * Milliseconds that a target may continue a cancelled request. When one call of
  * a request fails, its target cancels the other calls, and those targets cancel
  * the calls below them. Aborting each at once would cost a connection, which
- * takes longer to reopen than most of these calls would still run. Callers'
- * operators allow half a second; this is half of it, because a cancel takes
- * some time to arrive.
+ * takes longer to reopen than most of these calls have left. Callers' operators
+ * allow half a second; this is half of it, because a cancel takes some time to
+ * arrive.
  */
 const cancelGrace = 250;
 
