--- a/packages/mesh/__tests__/deadline-wheel.spec.ts
+++ b/packages/mesh/__tests__/deadline-wheel.spec.ts
@@ -2,17 +2,17 @@
 import {expect} from 'chai';
 import {createDeadlineWheel, wheelTick} from '../src/deadline-wheel.js';
 
-describe('deadlines on one timer', () => {
+describe('createDeadlineWheel', () => {
 	const add = (
 		wheel: ReturnType<typeof createDeadlineWheel>,
 		at: number,
-		note: (at: number) => void,
+		onDeadline: (at: number) => void,
 	) =>
 		wheel.add(at, () => {
-			note(at);
+			onDeadline(at);
 		});
 
-	it('are called in their order, at most a tick late', () => {
+	it('fires deadlines in order, at most a tick late', () => {
 		const clock = createVirtualClock();
 		const wheel = createDeadlineWheel(clock);
 		const called: Array<{at: number; now: number}> = [];
@@ -29,7 +29,7 @@
 		}
 	});
 
-	it('are not called once they are taken back', () => {
+	it('does not fire a cancelled deadline', () => {
 		const clock = createVirtualClock();
 		const wheel = createDeadlineWheel(clock);
 		let calls = 0;
@@ -41,9 +41,9 @@
 		expect(calls).to.equal(0);
 	});
 
-	it('do not wake the process while none is due', () => {
-		// Some request is always under way. Woken at each tick for its sake, a node
-		// with little work spends most of its processor time on waking up.
+	it('does not wake the process while no deadline is due', () => {
+		// Some request is always pending. If each tick woke the process, a node with
+		// little load would spend most of its processor time on wake-ups.
 		const clock = createVirtualClock();
 		let timers = 0;
 		const wheel = createDeadlineWheel({
@@ -62,7 +62,7 @@
 		expect(timers).to.be.below(10);
 	});
 
-	it('are called once each after a pause of the process', () => {
+	it('fires each deadline once after a pause of the process', () => {
 		const clock = createVirtualClock();
 		const wheel = createDeadlineWheel(clock);
 		const called: number[] = [];
--- a/packages/mesh/__tests__/directory.spec.ts
+++ b/packages/mesh/__tests__/directory.spec.ts
@@ -21,7 +21,7 @@
 	startedAt: 1,
 };
 
-describe('the directory', () => {
+describe('createDirectory', () => {
 	let server: WebSocketServer;
 	let directory: Directory;
 	let life: AbortController;
@@ -69,7 +69,7 @@
 		},
 	});
 
-	/** Creates a directory; resolves when the state of some node has come. */
+	/** Creates a directory; resolves when it has received the state of a node. */
 	const open = async (members: Member[]) => {
 		const clock = createVirtualClock();
 		await new Promise<void>((resolve) => {
@@ -92,7 +92,7 @@
 		});
 	};
 
-	it('offers the target of a member that it was told of', async () => {
+	it('lists the target of an added member as a candidate', async () => {
 		const member = memberAtServer('node-1', 1);
 		answerWith([
 			{kind: 'hello', member, configurationVersion: 0},
@@ -104,10 +104,10 @@
 		expect(directory.candidates('writes', new Set())).to.have.length(0);
 	});
 
-	it('takes the node that answers at an address for what it is', async () => {
-		// A VM was replaced and its address given to another one, while its row is
-		// still there. Under the old name the new node would be offered twice, and a
-		// request that it has refused would go to it again.
+	it('replaces a member when another node answers at its address', async () => {
+		// A VM was replaced and its address assigned to another one, but its row still
+		// exists. With both names, the new node would be listed twice, and a request
+		// that it refused would be sent to it again.
 		const gone = memberAtServer('node-gone', 1);
 		const found = memberAtServer('node-found', 2);
 		answerWith([
--- a/packages/mesh/__tests__/gate.spec.ts
+++ b/packages/mesh/__tests__/gate.spec.ts
@@ -3,8 +3,16 @@
 import {egretspokePolicy} from '../src/decisions/mesh-policy.js';
 
 describe('a gate', () => {
-	const inner: GateRequest = {isNearCompletion: true, priority: 2, maxWait: 300};
-	const fresh: GateRequest = {isNearCompletion: false, priority: 0, maxWait: 300};
+	const inner: GateRequest = {
+		isNearCompletion: true,
+		priority: 2,
+		maxWait: 300,
+	};
+	const fresh: GateRequest = {
+		isNearCompletion: false,
+		priority: 0,
+		maxWait: 300,
+	};
 
 	const createFullGate = () => {
 		const gate = createGate<string>(egretspokePolicy.limitOf(21));
--- a/packages/mesh/__tests__/route-table.spec.ts
+++ b/packages/mesh/__tests__/route-table.spec.ts
@@ -24,7 +24,7 @@
 	idleTime: 1000,
 };
 
-describe('a route table', () => {
+describe('createRouteTable', () => {
 	const table = createRouteTable({
 		version: 3,
 		limits,
@@ -35,7 +35,7 @@
 		],
 	});
 
-	it('takes the longest prefix that begins the path', () => {
+	it('finds the route with the longest prefix of the path', () => {
 		expect(table.findRoute('shop.example', '/orders/new/1')?.name).to.equal(
 			'long',
 		);
@@ -47,7 +47,7 @@
 		);
 	});
 
-	it('finds nothing for another host or path', () => {
+	it('finds no route for another host or path', () => {
 		expect(table.findRoute('shop.example', '/orders')).to.equal(undefined);
 		expect(table.findRoute('nobody.example', '/orders/')).to.equal(undefined);
 	});
@@ -78,7 +78,7 @@
 		];
 		const shared = createRouteTable({version: 1, limits, routes, workspaces});
 
-		it('finds who holds a key, and nobody for any other', () => {
+		it('finds the workspace of a key, and none for unknown keys', () => {
 			expect(shared.findWorkspace('key-1')?.name).to.equal('urgent');
 			expect(shared.findWorkspace('key-2')?.name).to.equal('usual');
 			expect(shared.findWorkspace('key-3')).to.equal(undefined);
--- a/packages/mesh/__tests__/target-record.spec.ts
+++ b/packages/mesh/__tests__/target-record.spec.ts
@@ -19,7 +19,7 @@
 const known: TargetRecord = {...announcement, hasLeft: false};
 
 describe('the record of a target', () => {
-	it('takes a later start, also under the same id', () => {
+	it('applies an announcement of a later incarnation, even with the same id', () => {
 		const change = applyAnnouncement(known, {
 			...announcement,
 			startedAt: 2000,
@@ -28,11 +28,11 @@
 		expect(change).to.deep.include({kind: 'changed'});
 	});
 
-	it('does not go back to an earlier start whose announcement was held up', () => {
-		// A target announces itself into a partition, crashes, and another starts
-		// on its address; then the partition heals and the old announcement
-		// arrives. Taken, requests would carry the id of a target that is gone,
-		// and users would get failures from a healthy one.
+	it('rejects a delayed announcement of an earlier incarnation', () => {
+		// A target announces itself during a partition and crashes, and another one
+		// starts on its address; then the partition heals and the old announcement
+		// arrives. If it were applied, requests would carry the id of a target that
+		// is gone, and users would get failures from a healthy one.
 		const change = applyAnnouncement(known, {
 			...announcement,
 			targetId: 'target-0',
@@ -42,9 +42,9 @@
 		expect(change.kind).to.equal('stale');
 	});
 
-	it('does not take back a leaving when an older announcement arrives after it', () => {
-		// The announcement before the leaving was delayed on the way. Taken as
-		// news, the target would get work until it ends in the middle of it.
+	it('keeps a target leaving when another announcement without leaving arrives later', () => {
+		// The announcement sent before the leaving was delayed. If it undid the
+		// leaving, the target would receive requests until it ends while running them.
 		const leaving = applyAnnouncement(known, {
 			...announcement,
 			sequence: 7,
@@ -64,7 +64,7 @@
 		expect(later).to.have.nested.property('record.isLeaving', true);
 	});
 
-	it('takes a leaving that arrives behind a later announcement', () => {
+	it('applies a leaving that arrives after a later announcement', () => {
 		const change = applyAnnouncement(known, {
 			...announcement,
 			sequence: 4,
@@ -73,31 +73,32 @@
 		expect(change.kind).to.equal('changed');
 	});
 
-	it('takes a farewell of the known start only', () => {
-		const farewells = [
+	it('applies a withdrawal of the known incarnation only', () => {
+		const withdrawals = [
 			{targetId: 'target-1', startedAt: 1000, kind: 'changed'},
 			{targetId: 'target-1', startedAt: undefined, kind: 'changed'},
 			{targetId: 'target-1', startedAt: 900, kind: 'stale'},
 			{targetId: 'target-0', startedAt: undefined, kind: 'stale'},
 		];
-		for (const {kind, ...withdrawal} of farewells) {
+		for (const {kind, ...withdrawal} of withdrawals) {
 			expect(applyWithdrawal(known, withdrawal, 5000).kind).to.equal(kind);
 		}
 	});
 
-	it('acknowledges a leaving again whose first acknowledgement was lost', () => {
-		// The target says that it leaves, and the answer is lost on the way. It
-		// says the same again; refused, it would end without waiting for its work.
+	it('acknowledges a repeated leaving, because the first acknowledgement may be lost', () => {
+		// The target announces its leaving, the answer is lost, and it repeats the
+		// announcement. If that were rejected, the target would end without waiting
+		// for its running requests.
 		const leaving = {...announcement, sequence: 7, isLeaving: true};
 		const first = applyAnnouncement(known, leaving);
 		const record = first.kind === 'stale' ? known : first.record;
 		expect(applyAnnouncement(record, leaving).kind).to.equal('same');
 	});
 
-	it('keeps a farewell that reaches a node which knows no target yet', () => {
-		// The node has just started again when its target says farewell. An
-		// announcement from before that is still on its way must not bring the
-		// target back; the next target, started later, is taken.
+	it('records a withdrawal that arrives before any announcement', () => {
+		// The node has just restarted when its target withdraws. A delayed earlier
+		// announcement must not restore the target; the next target, which started
+		// later, is applied.
 		const change = applyWithdrawal(
 			undefined,
 			{targetId: 'target-1', startedAt: undefined},
