--- a/packages/mesh/src/crash-report.ts
+++ b/packages/mesh/src/crash-report.ts
@@ -27,13 +27,7 @@
 
 /** Records a crash with the runs suspected to have caused it, and logs each of them. */
 export function reportCrash(
-	{
-		clock,
-		headerNames,
-		reporter,
-		metrics,
-		recordCrash: noteCrash,
-	}: CrashReportOptions,
+	{clock, headerNames, reporter, metrics, recordCrash}: CrashReportOptions,
 	runs: WatchedRun[],
 	lost: number,
 ): void {
@@ -45,7 +39,7 @@
 	metrics.targetCrashed();
 	reporter.notice('targetCrashed', {requests: lost});
 	const crashes = new Map(
-		noteCrash(crashed).map((suspect) => [suspect.identity, suspect.crashes]),
+		recordCrash(crashed).map((suspect) => [suspect.identity, suspect.crashes]),
 	);
 	const now = clock.now();
 	for (const [index, {request, startedAt}] of runs.entries()) {
