--- a/packages/mesh/src/target-client.ts
+++ b/packages/mesh/src/target-client.ts
@@ -110,7 +110,7 @@
 		}
 	};
 
-	const endWhole = () => {
+	const endComplete = () => {
 		if (status === misdirectedStatus) {
 			onReplaced();
 		}
@@ -177,14 +177,14 @@
 			onResponseEnd() {
 				if (isFramed) {
 					connection.release();
-					endWhole();
+					endComplete();
 					return;
 				}
 
 				connection.checkCleanClose((wasClosed) => {
 					connection.release();
 					if (wasClosed) {
-						endWhole();
+						endComplete();
 					} else {
 						end({kind: 'lost', reason: 'answerCut'});
 					}
--- a/packages/mesh/src/target-dispatcher.ts
+++ b/packages/mesh/src/target-dispatcher.ts
@@ -41,7 +41,7 @@
 import {createRepeatedOffers} from './repeated-offers.js';
 import type {Suspects} from './suspects.js';
 import {createTargetAccess} from './target-access.js';
-import {createTargetLevels} from './target-levels.js';
+import {createTargetShedLevel} from './target-shed-level.js';
 import type {TargetRecord} from './target-record.js';
 import {startTargetRun, responseMargin, type TargetRun} from './target-run.js';
 
@@ -103,7 +103,7 @@
 ): TargetDispatcher {
 	const {clock, wheel, metrics, suspects} = options;
 	const isolation = createIsolation<PendingRequest>();
-	const levels = createTargetLevels(options.policy);
+	const targetShedLevel = createTargetShedLevel(options.policy);
 	const access = createTargetAccess({
 		...options,
 		onConnectionRefused() {
@@ -146,7 +146,7 @@
 
 	const load = (): TargetLoad => ({
 		occupancy: (admission.running() + admission.waiting()) / admission.limit(),
-		shedLevel: levels.own(),
+		shedLevel: targetShedLevel.own(),
 		failureShare: failures.value(clock.now()),
 		runTime: runTime.value(clock.now()),
 	});
@@ -281,9 +281,9 @@
 	};
 
 	/** An aborted run is only a lower bound of the run time, so it counts only above the current estimate. */
-	const recordRunTime = (elapsed: number, isWhole: boolean) => {
+	const recordRunTime = (elapsed: number, isComplete: boolean) => {
 		const now = clock.now();
-		if (isWhole || elapsed > runTime.value(now)) {
+		if (isComplete || elapsed > runTime.value(now)) {
 			runTime.note(elapsed, now);
 		}
 	};
@@ -349,7 +349,7 @@
 		const now = clock.now();
 		const isIdle =
 			admission.waiting() + isolation.waiting() === 0 &&
-			levels.isIdle(offers.unserved(now));
+			targetShedLevel.isIdle(offers.unserved(now));
 		if (ticker !== undefined || isIdle) {
 			return;
 		}
@@ -377,7 +377,7 @@
 		if (elapsed >= shedPeriod) {
 			lastLevelUpdate = now;
 			const declined = offers.declined(now);
-			levels.update({
+			targetShedLevel.update({
 				wait: admission.expectedWait(),
 				occupancy: admission.running() / admission.limit(),
 				arriving: ((1 - declined) * admission.takeArrivals()) / elapsed,
@@ -478,7 +478,7 @@
 			inFlight: admission.running(),
 			waiting: admission.waiting(),
 			limit: admission.limit(),
-			shedLevel: levels.own(),
+			shedLevel: targetShedLevel.own(),
 		}),
 	};
 
--- a/packages/mesh/src/target-levels.ts
+++ b/packages/mesh/src/target-shed-level.ts
@@ -7,7 +7,7 @@
 } from './decisions/shed-level.js';
 
 /** The shed level of the local target. */
-export type TargetLevels = {
+export type TargetShedLevel = {
 	/** Updates the level; called once per `shedPeriod`. */
 	update(pressure: Pressure): void;
 	/** The current level, from 0 to 1. */
@@ -17,9 +17,9 @@
 };
 
 /** Creates a level of 0. */
-export function createTargetLevels(
+export function createTargetShedLevel(
 	policy: Pick<MeshPolicy, 'has'>,
-): TargetLevels {
+): TargetShedLevel {
 	const own = createShedLevel();
 	return {
 		update(pressure) {
