--- a/packages/mesh/src/deadline-wheel.ts
+++ b/packages/mesh/src/deadline-wheel.ts
@@ -24,7 +24,7 @@
 	let timerTick = Number.POSITIVE_INFINITY;
 	let lastTick = Math.floor(clock.now() / wheelTick);
 
-	/** Cancelled deadlines leave the timer unchanged; it is set again only for an earlier tick, which is rare. */
+	/** Most deadlines are cancelled before they fire, so the timer is rarely reset for an earlier tick. */
 	const setTimerFor = (tick: number) => {
 		timer?.cancel();
 		timerTick = tick;
