--- a/packages/mesh/__tests__/target-record.spec.ts
+++ b/packages/mesh/__tests__/target-record.spec.ts
@@ -1,7 +1,7 @@
 import {expect} from 'chai';
 import {
-	takeAnnouncement,
-	takeWithdrawal,
+	applyAnnouncement,
+	applyWithdrawal,
 	type Announcement,
 	type TargetRecord,
 } from '../src/target-record.js';
@@ -19,8 +19,8 @@
 const known: TargetRecord = {...announcement, hasLeft: false};
 
 describe('the record of a target', () => {
-	it('takes a later start, also under the same id', () => {
-		const change = takeAnnouncement(known, {
+	it('applies an announcement of a later incarnation, even with the same id', () => {
+		const change = applyAnnouncement(known, {
 			...announcement,
 			startedAt: 2000,
 			sequence: 1,
@@ -28,12 +28,12 @@
 		expect(change).to.deep.include({kind: 'changed'});
 	});
 
-	it('does not go back to an earlier start whose announcement was held up', () => {
-		// A target announces itself into a partition, crashes, and another starts
-		// on its address; then the partition heals and the old announcement
-		// arrives. Taken, requests would carry the id of a target that is gone,
-		// and users would get failures from a healthy one.
-		const change = takeAnnouncement(known, {
+	it('rejects a delayed announcement of an earlier incarnation', () => {
+		// A target announces itself during a partition and crashes, and another one
+		// starts on its address; then the partition heals and the old announcement
+		// arrives. If it were applied, requests would carry the id of a target that
+		// is gone, and users would get failures from a healthy one.
+		const change = applyAnnouncement(known, {
 			...announcement,
 			targetId: 'target-0',
 			startedAt: 500,
@@ -42,30 +42,30 @@
 		expect(change.kind).to.equal('stale');
 	});
 
-	it('does not take back a leaving when an older announcement arrives after it', () => {
-		// The announcement before the leaving was delayed on the way. Taken as
-		// news, the target would get work until it ends in the middle of it.
-		const leaving = takeAnnouncement(known, {
+	it('keeps a target leaving when another announcement without leaving arrives later', () => {
+		// The announcement sent before the leaving was delayed. If it undid the
+		// leaving, the target would receive requests until it ends while running them.
+		const leaving = applyAnnouncement(known, {
 			...announcement,
 			sequence: 7,
 			isLeaving: true,
 		});
 		expect(leaving).to.have.nested.property('record.isLeaving', true);
-		const late = takeAnnouncement(
+		const late = applyAnnouncement(
 			{...known, isLeaving: true, sequence: 7},
 			{...announcement, sequence: 6},
 		);
 		expect(late).to.have.nested.property('record.isLeaving', true);
 		expect(late).to.have.nested.property('record.sequence', 7);
-		const later = takeAnnouncement(
+		const later = applyAnnouncement(
 			{...known, isLeaving: true, sequence: 7},
 			{...announcement, sequence: 8},
 		);
 		expect(later).to.have.nested.property('record.isLeaving', true);
 	});
 
-	it('takes a leaving that arrives behind a later announcement', () => {
-		const change = takeAnnouncement(known, {
+	it('applies a leaving that arrives after a later announcement', () => {
+		const change = applyAnnouncement(known, {
 			...announcement,
 			sequence: 4,
 			isLeaving: true,
@@ -73,40 +73,41 @@
 		expect(change.kind).to.equal('changed');
 	});
 
-	it('takes a farewell of the known start only', () => {
-		const farewells = [
+	it('applies a withdrawal of the known incarnation only', () => {
+		const withdrawals = [
 			{targetId: 'target-1', startedAt: 1000, kind: 'changed'},
 			{targetId: 'target-1', startedAt: undefined, kind: 'changed'},
 			{targetId: 'target-1', startedAt: 900, kind: 'stale'},
 			{targetId: 'target-0', startedAt: undefined, kind: 'stale'},
 		];
-		for (const {kind, ...withdrawal} of farewells) {
-			expect(takeWithdrawal(known, withdrawal, 5000).kind).to.equal(kind);
+		for (const {kind, ...withdrawal} of withdrawals) {
+			expect(applyWithdrawal(known, withdrawal, 5000).kind).to.equal(kind);
 		}
 	});
 
-	it('acknowledges a leaving again whose first acknowledgement was lost', () => {
-		// The target says that it leaves, and the answer is lost on the way. It
-		// says the same again; refused, it would end without waiting for its work.
+	it('acknowledges a repeated leaving, because the first acknowledgement may be lost', () => {
+		// The target announces its leaving, the answer is lost, and it repeats the
+		// announcement. If that were rejected, the target would end without waiting
+		// for its running requests.
 		const leaving = {...announcement, sequence: 7, isLeaving: true};
-		const first = takeAnnouncement(known, leaving);
+		const first = applyAnnouncement(known, leaving);
 		const record = first.kind === 'stale' ? known : first.record;
-		expect(takeAnnouncement(record, leaving).kind).to.equal('same');
+		expect(applyAnnouncement(record, leaving).kind).to.equal('same');
 	});
 
-	it('keeps a farewell that reaches a node which knows no target yet', () => {
-		// The node has just started again when its target says farewell. An
-		// announcement from before that is still on its way must not bring the
-		// target back; the next target, started later, is taken.
-		const change = takeWithdrawal(
+	it('records a withdrawal that arrives before any announcement', () => {
+		// The node has just restarted when its target withdraws. A delayed earlier
+		// announcement must not restore the target; the next target, which started
+		// later, is applied.
+		const change = applyWithdrawal(
 			undefined,
 			{targetId: 'target-1', startedAt: undefined},
 			5000,
 		);
 		expect(change.kind).to.equal('changed');
 		const record = change.kind === 'stale' ? known : change.record;
-		expect(takeAnnouncement(record, announcement).kind).to.equal('stale');
+		expect(applyAnnouncement(record, announcement).kind).to.equal('stale');
 		const next = {...announcement, targetId: 'target-2', startedAt: 6000};
-		expect(takeAnnouncement(record, next).kind).to.equal('changed');
+		expect(applyAnnouncement(record, next).kind).to.equal('changed');
 	});
 });
--- a/packages/mesh/src/caller-listener.ts
+++ b/packages/mesh/src/caller-listener.ts
@@ -1,7 +1,8 @@
 /**
- * The HTTP listener for the callers beside this node and for the target's own
- * calls. Bodies are read whole before they go anywhere, so that a caller that
- * stalls or leaves in the middle holds no slot of a target.
+ * The HTTP listener for local callers and for calls of the local target.
+ *
+ * Bodies are buffered before a request is forwarded, so that a caller that
+ * stalls or disconnects during an upload holds no slot of a target.
  */
 import {Buffer} from 'node:buffer';
 import {
@@ -16,7 +17,7 @@
 import {
 	findHeader,
 	findOnlyHeader,
-	keepEndToEnd,
+	filterEndToEnd,
 	type HeaderNames,
 } from './header-names.js';
 import {listenOn} from './listening.js';
@@ -24,38 +25,38 @@
 import type {FinalAnswer} from './caller-request.js';
 import type {CallerLimits} from './route.js';
 
-/** What the listener needs. */
+/** Dependencies of the listener. */
 export type CallerListenerOptions = {
 	entry: Entry;
 	clock: Clock;
 	headerNames: HeaderNames;
 	reporter: MeshReporter;
-	/** The service beside which this node runs, as targets are told. */
+	/** The service of the local target, sent to targets in a header. */
 	callerService: () => string;
-	/** Whether callers name their workspaces by keys. */
+	/** Whether callers identify their workspaces by keys. */
 	hasWorkspaces: () => boolean;
 	isStopping: () => boolean;
 };
 
-/** The listener. */
+/** The listener for callers. */
 export type CallerListener = {
-	/** Listens on `ip:port`; gives the address that it got. */
+	/** Listens on `ip:port`; returns the bound address. */
 	listen(address: string): Promise<string>;
 	applyLimits(limits: CallerLimits): void;
-	/** Takes no new connections and closes those that are idle. */
+	/** Closes idle connections. */
 	drain(): void;
 	close(): void;
 };
 
-/** What callers may send before any configuration is known: what Node itself allows. */
-const firstLimits: CallerLimits = {
+/** Limits until a configuration is known: what Node allows by default. */
+const defaultLimits: CallerLimits = {
 	headerBytes: 16 * 1024,
 	bodyBytes: 64 * 1024 * 1024,
 	headerTime: 3000,
 	idleTime: 15_000,
 };
-/** The largest headers that are parsed at all; the configured limit is checked after. */
-const mostHeaderBytes = 256 * 1024;
+/** Maximum size of parsed headers, in bytes; the configured limit is checked afterwards. */
+const maxParsedHeaderBytes = 256 * 1024;
 
 /** Creates a listener that is not listening yet. */
 export function createCallerListener(
@@ -68,14 +69,14 @@
 		headerNames.timeLeft,
 		headerNames.workspace,
 	]);
-	/** Without workspaces a key is the application's own. */
+	/** Without workspaces, a key header belongs to the application and is forwarded. */
 	const droppedWithKey = new Set([...dropped, headerNames.workspaceKey]);
-	let limits = firstLimits;
-	const open = new WeakMap<Socket, Set<() => void>>();
+	let limits = defaultLimits;
+	const leaveHandlersBySocket = new WeakMap<Socket, Set<() => void>>();
 	const server: Server = createServer(
 		{
 			keepAliveTimeout: limits.idleTime,
-			maxHeaderSize: mostHeaderBytes,
+			maxHeaderSize: maxParsedHeaderBytes,
 			noDelay: true,
 		},
 		(request, response) => {
@@ -85,10 +86,10 @@
 	server.requestTimeout = 0;
 	server.headersTimeout = limits.headerTime + limits.idleTime;
 	server.on('connection', (socket) => {
-		const leaves = new Set<() => void>();
-		open.set(socket, leaves);
+		const leaveHandlers = new Set<() => void>();
+		leaveHandlersBySocket.set(socket, leaveHandlers);
 		socket.once('close', () => {
-			for (const leave of leaves) {
+			for (const leave of leaveHandlers) {
 				leave();
 			}
 		});
@@ -99,7 +100,7 @@
 			socket.writable &&
 			!socket.destroyed &&
 			socket.bytesRead > 0 &&
-			(open.get(socket)?.size ?? 0) === 0
+			(leaveHandlersBySocket.get(socket)?.size ?? 0) === 0
 		) {
 			const status =
 				(error as NodeJS.ErrnoException).code === 'HPE_HEADER_OVERFLOW'
@@ -124,7 +125,7 @@
 
 		const arrivedAt = options.clock.now();
 		if (!hasBody(request)) {
-			// Without a look at a stream that brings nothing: six calls of the stream for each read request.
+			// Skips the empty body stream, which would cost six stream calls for each read request.
 			handle(request, response, undefined, arrivedAt);
 			return;
 		}
@@ -163,17 +164,17 @@
 		body: Uint8Array | undefined,
 		arrivedAt: number,
 	) => {
-		const leaves = open.get(request.socket);
+		const leaveHandlers = leaveHandlersBySocket.get(request.socket);
 		const raw = request.rawHeaders;
 		const timeLeft = Number(findHeader(raw, headerNames.timeLeft));
-		const headers = keepEndToEnd(
+		const headers = filterEndToEnd(
 			raw,
 			options.hasWorkspaces() ? droppedWithKey : dropped,
 		);
 		headers.push(headerNames.callerService, options.callerService());
-		// An answer can be given before the way to say that the caller left is known.
+		// The answer may be available before `handle` has returned its leave callback.
 		let isAnswered = false;
-		let forgetLeave = () => undefined as unknown;
+		let removeLeaveHandler = () => undefined as unknown;
 		const leave = options.entry.handle(
 			{
 				requestId: findHeader(raw, headerNames.requestId) ?? '',
@@ -189,13 +190,13 @@
 			},
 			(final) => {
 				isAnswered = true;
-				forgetLeave();
+				removeLeaveHandler();
 				respond(response, final);
 			},
 		);
 		if (!isAnswered) {
-			leaves?.add(leave);
-			forgetLeave = () => leaves?.delete(leave);
+			leaveHandlers?.add(leave);
+			removeLeaveHandler = () => leaveHandlers?.delete(leave);
 		}
 	};
 
@@ -267,7 +268,7 @@
 	);
 }
 
-/** Bytes of the header lines as they were sent: names and values are Latin-1, with a colon, a space and a line end. */
+/** Size of the header lines on the wire, in bytes: names and values are Latin-1, with a colon, a space and a line end. */
 function sizeOfHeaders(headers: string[]): number {
 	const separators = 4;
 	let size = 0;
--- a/packages/mesh/src/compact-message.ts
+++ b/packages/mesh/src/compact-message.ts
@@ -6,7 +6,7 @@
  * data centres are paid for. Lists are also quicker to write and to read.
  */
 import type {
-	HandedRequest,
+	ForwardedRequest,
 	LossReason,
 	Outcome,
 	RefusalReason,
@@ -17,7 +17,7 @@
 export type CompactMessage =
 	/** How loaded the sender's target is, when no outcome has told it lately. */
 	| {kind: 'load'; load: TargetLoad}
-	| {kind: 'request'; exchange: number; request: HandedRequest}
+	| {kind: 'request'; exchange: number; request: ForwardedRequest}
 	| {kind: 'cancel'; exchange: number}
 	| {
 			kind: 'outcome';
@@ -66,12 +66,12 @@
 		request.isIdempotent,
 		request.isInner,
 		request.priority,
-		Math.round(request.patience),
+		Math.round(request.maxWait),
 		// Never more than there is.
 		Math.floor(request.timeLeft),
 		Math.round(request.repeatShare * shareScale),
 		request.route,
-		request.isNearItsEnd,
+		request.isNearCompletion,
 		request.crashes,
 	],
 	cancel: ({exchange}) => [codes.cancel, exchange],
@@ -151,11 +151,11 @@
 			isIdempotent: list[8] as boolean,
 			isInner: list[9] as boolean,
 			priority: list[10] as number,
-			patience: list[11] as number,
+			maxWait: list[11] as number,
 			timeLeft: list[12] as number,
 			repeatShare: (list[13] as number) / shareScale,
 			route: list[14] as string,
-			isNearItsEnd: list[15] as boolean,
+			isNearCompletion: list[15] as boolean,
 			crashes: list[16] as number,
 		},
 	};
--- a/packages/mesh/src/directory.ts
+++ b/packages/mesh/src/directory.ts
@@ -1,9 +1,9 @@
 /**
- * The links of this node to the others: which it keeps, what comes over them,
- * and the targets that they lead to.
+ * The directory of remote targets: maintains links to other nodes, handles the
+ * messages received over them, and lists the targets they lead to.
  *
- * Whatever the size of the fleet, links are kept to a bounded subset of each
- * service (`peer-subset.ts`) and opened by need.
+ * Links are opened on demand and limited to a bounded subset of each service
+ * (`peer-subset.ts`), so that their number doesn't grow with the fleet.
  */
 import type {Clock, Random} from '@egretspoke/shared';
 import type {FeedPeer} from './decisions/feed-followers.js';
@@ -29,7 +29,7 @@
 
 export type {TargetCandidate} from './peer.js';
 
-/** What a directory needs. */
+/** Dependencies of a directory. */
 export type DirectoryOptions = {
 	clock: Clock;
 	random: Random;
@@ -41,53 +41,53 @@
 		reply: (message: PeerMessage) => void,
 	) => void;
 	onMalformed: (detail: string) => void;
-	/** A node told its state. */
+	/** A node reported its state. */
 	onState: (state: StateMessage) => void;
-	/** A node told what requests cause at its target. */
+	/** A node reported the call profiles of its target. */
 	onProfiles: (node: string, message: ProfilesMessage) => void;
 	onPeer: (node: string, change: 'up' | 'down') => void;
-	/** Members that this node needs links to whatever their service. */
+	/** Members that need a link regardless of their service. */
 	pinned: () => Iterable<string>;
 };
 
-/** Where members were learnt from; what peers tell is passed on. */
+/** The source of a member record; records from peers are gossiped further. */
 export type MemberSource = 'store' | 'peer';
 
-/** The directory. */
+/** The links to other nodes and the remote targets. */
 export type Directory = {
-	/** Takes members; links are opened to those that the subsets want. */
+	/** Adds members; links are opened to those selected by the subsets. */
 	addMembers(members: Member[], source: MemberSource): void;
-	/** A member said hello: it is there, whatever was believed of it. */
-	noteHello(member: Member): void;
-	/** Targets of the service that may be chosen, other than the one beside this node. */
+	/** Records a member that sent a hello: it is alive, even if it was considered gone. */
+	recordHello(member: Member): void;
+	/** Remote targets of the service that are available and not yet tried. */
 	candidates(service: string, tried: ReadonlySet<string>): TargetCandidate[];
-	/** The services of the linked targets, each with the mean of their shed levels. */
+	/** The mean shed level of the linked targets, by service. */
 	shedLevels(): Map<string, number>;
-	/** The nodes whose links can be used, with what they said of the feed. */
+	/** The nodes with usable links, and whether each follows the feed. */
 	feedPeers(): FeedPeer[];
-	/** All members that this node has heard of, itself left out. */
+	/** All known members except this node. */
 	members(): Member[];
-	/** Whether the link to the node can be used. */
+	/** Whether the link to the node is usable. */
 	isLinked(node: string): boolean;
-	/** Tells a linked node. */
-	tell(node: string, message: PeerMessage): void;
-	/** Tells one linked node, drawn at random. */
-	tellOne(message: PeerMessage): void;
-	/** How many nodes there are, this one counted. */
+	/** Sends a message to a linked node. */
+	send(node: string, message: PeerMessage): void;
+	/** Sends a message to a random linked node. */
+	sendToRandomPeer(message: PeerMessage): void;
+	/** Number of known nodes, including this one. */
 	size(): number;
-	/** Nodes whose links can be used. */
+	/** Number of nodes with usable links. */
 	connected(): number;
-	/** The same, with their links. */
+	/** The nodes with usable links. */
 	linked(): Array<Pick<Peer, 'member' | 'link'>>;
-	/** Tells every linked node. */
-	tellAll(message: PeerMessage): void;
+	/** Sends a message to every linked node. */
+	broadcast(message: PeerMessage): void;
 	close(): void;
 };
 
-/** Milliseconds between two looks at the subsets. */
-const subsetPeriod = 600;
+/** Interval at which the subsets are recomputed, in milliseconds. */
+const subsetRefreshInterval = 600;
 
-/** Creates a directory that knows nobody. */
+/** Creates a directory without members. */
 export function createDirectory(options: DirectoryOptions): Directory {
 	const {clock, random, self, ticker} = options;
 	const known = createKnownMembers(self.node);
@@ -96,7 +96,7 @@
 		random,
 		hello: options.hello,
 		onMessage(peer, message) {
-			const handle = handlers[message.kind] ?? receiveNews;
+			const handle = handlers[message.kind] ?? deliverMessage;
 			handle(peer, message as never);
 		},
 		onMalformed: options.onMalformed,
@@ -110,9 +110,14 @@
 		peers,
 		pinned: options.pinned,
 	});
-	const news = createMemberNews({clock, random, self, links: links.usable});
+	const memberGossip = createMemberNews({
+		clock,
+		random,
+		self,
+		links: links.usable,
+	});
 
-	/** An address may belong to another node by now, which then answers in its place. */
+	/** The address may have been reassigned to another node, which then answers on it. */
 	const checkIdentity = (peer: Peer, found: Member): boolean => {
 		const isExpected = found.node === peer.member.node;
 		if (!isExpected) {
@@ -124,7 +129,7 @@
 		return isExpected;
 	};
 
-	/** Messages about the peer itself; the others may come on either side of a link. */
+	/** Handlers of messages about the peer itself; all other messages may arrive on either side of a link. */
 	const handlers: {
 		[Kind in PeerMessage['kind']]?: (
 			peer: Peer,
@@ -144,12 +149,12 @@
 		},
 		hello(peer, message) {
 			if (checkIdentity(peer, message.member)) {
-				receiveNews(peer, message);
+				deliverMessage(peer, message);
 			}
 		},
 	};
 
-	const receiveNews = (peer: Peer, message: PeerMessage) => {
+	const deliverMessage = (peer: Peer, message: PeerMessage) => {
 		options.onMessage(message, (reply) => {
 			peer.link.tell(reply);
 		});
@@ -175,7 +180,7 @@
 			}
 
 			if (source === 'peer') {
-				news.add(member);
+				memberGossip.add(member);
 			}
 		}
 
@@ -184,7 +189,7 @@
 		}
 	};
 
-	/** Opens and closes links so that the subsets are as wanted. */
+	/** Opens and closes links to match the selected subsets. */
 	const refresh = () => {
 		const wanted = wantedMembers.choose();
 		for (const node of wanted) {
@@ -197,11 +202,11 @@
 		links.keep(wanted);
 	};
 
-	ticker.schedule(subsetPeriod, refresh);
+	ticker.schedule(subsetRefreshInterval, refresh);
 	ticker.schedule(probePeriod, links.probe);
 	return {
 		addMembers,
-		noteHello(member) {
+		recordHello(member) {
 			addMembers([member], 'peer');
 			wantedMembers.noteAlive(member.node);
 			peers.get(member.node)?.link.retryNow();
@@ -245,16 +250,16 @@
 			})),
 		members: known.all,
 		isLinked: (node) => peers.get(node)?.link.isUsable() ?? false,
-		tell(node, message) {
+		send(node, message) {
 			peers.get(node)?.link.tell(message);
 		},
-		tellOne: links.tellOne,
+		sendToRandomPeer: links.tellOne,
 		size: () => known.size() + 1,
 		connected: () => links.usable().length,
 		linked: links.usable,
-		tellAll: links.tellAll,
+		broadcast: links.tellAll,
 		close() {
-			news.close();
+			memberGossip.close();
 			links.close();
 		},
 	};
--- a/packages/mesh/src/entry.ts
+++ b/packages/mesh/src/entry.ts
@@ -1,31 +1,34 @@
-/** Requests of the callers beside this node: finds the route of each and lets it pass. */
+/**
+ * The entry of a node: finds the route and the workspace of each caller's
+ * request, enforces quotas and forwards what is admitted.
+ */
 import type {CallerRequest, FinalAnswer, OwnAnswer} from './caller-request.js';
 import {shortReturn} from './decisions/return-time.js';
 import {
-	createPassage,
-	type PassageEnd,
-	type PassageOptions,
-} from './passage.js';
+	forwardRequest,
+	type ForwardingCallbacks,
+	type ForwardingOptions,
+} from './request-forwarding.js';
 import type {HeaderNames} from './header-names.js';
 import type {QuotaExchange} from './quota-exchange.js';
 import type {RouteTable, TableRoute} from './route-table.js';
 import type {Workspace} from './workspace.js';
 
-/** What an entry needs. */
-export type EntryOptions = PassageOptions & {
+/** Dependencies of an entry. */
+export type EntryOptions = ForwardingOptions & {
 	routes: () => RouteTable | undefined;
 	quotas: Pick<QuotaExchange, 'allows' | 'noteAdmitted' | 'returnTime'>;
 	headerNames: Pick<HeaderNames, 'workspace'>;
 };
 
-/** Takes requests of callers. */
+/** Handles callers' requests. */
 export type Entry = {
-	/** Answers exactly once, unless the caller leaves first; gives the way to say that it left. */
+	/** Answers exactly once, unless the caller disconnects first; returns a function that reports the disconnect. */
 	handle(
 		request: CallerRequest,
 		answer: (final: FinalAnswer) => void,
 	): () => void;
-	/** Requests without a final answer. */
+	/** Number of requests without a final answer. */
 	open(): number;
 };
 
@@ -49,7 +52,7 @@
 	};
 }
 
-/** Where a request may go, and for whom. */
+/** An admitted request: its route, workspace and urgency. */
 type Admission = {
 	kind: 'admitted';
 	route: TableRoute;
@@ -57,18 +60,18 @@
 	urgency: number;
 };
 
-/** Why a request goes nowhere. */
+/** A rejected request: its route and the answer to its caller. */
 type Rejection = {kind: 'rejected'; route: string; answer: OwnAnswer};
 
 function handleRequest(
 	options: EntryOptions,
 	request: CallerRequest,
-	end: PassageEnd,
+	callbacks: ForwardingCallbacks,
 ): () => void {
 	const admission = admit(options, request);
 	if (admission.kind === 'rejected') {
 		reject(options, request, admission);
-		end.answer(admission.answer);
+		callbacks.answer(admission.answer);
 		return () => undefined;
 	}
 
@@ -83,7 +86,12 @@
 		}
 	};
 
-	return createPassage(options, request, {route, urgency, onAdmitted}, end);
+	return forwardRequest(
+		options,
+		request,
+		{route, urgency, onAdmitted},
+		callbacks,
+	);
 }
 
 function admit(
@@ -114,8 +122,8 @@
 	}
 
 	if (!quotas.allows(workspace)) {
-		const back = quotas.returnTime(workspace);
-		return refuse(route.name, 429, 'quotaExceeded', back);
+		const retryAfter = quotas.returnTime(workspace);
+		return refuse(route.name, 429, 'quotaExceeded', retryAfter);
 	}
 
 	const urgency = routes.urgencyOf(route, workspace);
--- a/packages/mesh/src/learning.ts
+++ b/packages/mesh/src/learning.ts
@@ -1,49 +1,51 @@
-/** The periods in which a node learns its target's calls and works out the pressure on routes. */
+/** Updates the call profile of the target and the route pressure periodically, and announces changed profiles. */
 import type {Clock} from '@egretspoke/shared';
 import {profilePeriod, type CallProfile} from './decisions/call-profile.js';
 import {createPacedNews} from './paced-news.js';
-import {pressurePeriod, type RoutePressure} from './route-pressure.js';
+import {pressureRefreshInterval, type RoutePressure} from './route-pressure.js';
 import type {Ticker} from './ticker.js';
 
-/** What the learning needs. */
-export type LearningOptions = {
+/** Dependencies of the updates. */
+export type ProfileUpdatesOptions = {
 	clock: Clock;
 	ticker: Ticker;
-	/** Ends the learning. */
+	/** Stops the announcements. */
 	signal: AbortSignal;
 	profile: Pick<CallProfile, 'update'>;
 	pressure: Pick<RoutePressure, 'refresh'>;
-	/** Something was learnt. */
-	onLearnt: () => void;
-	/** Tells the others what was learnt. */
-	tell: () => void;
+	/** The profile changed. */
+	onProfileChange: () => void;
+	/** Sends the profile to the other nodes. */
+	announce: () => void;
 };
 
-/** Milliseconds between two announcements of profiles, at first and at most; they change most in the first seconds. */
-const firstNewsPause = 900;
-const longestNewsPause = 3000;
+/** Initial and maximum interval between announcements, in milliseconds; profiles change most in the first seconds. */
+const firstAnnouncementDelay = 900;
+const maxAnnouncementInterval = 3000;
 
-/** Creates the learning, which has not started. */
-export function createLearning(options: LearningOptions): {start(): void} {
+/** Creates the updates, not started yet. */
+export function createProfileUpdates(options: ProfileUpdatesOptions): {
+	start(): void;
+} {
 	const {clock, ticker, signal, profile, pressure} = options;
-	const news = createPacedNews({
+	const announcements = createPacedNews({
 		clock,
-		firstPause: firstNewsPause,
-		longestPause: longestNewsPause,
-		tell: options.tell,
+		firstPause: firstAnnouncementDelay,
+		longestPause: maxAnnouncementInterval,
+		tell: options.announce,
 	});
 	signal.addEventListener('abort', () => {
-		news.close();
+		announcements.close();
 	});
 	return {
 		start() {
 			ticker.schedule(profilePeriod, () => {
 				if (profile.update()) {
-					options.onLearnt();
-					news.note();
+					options.onProfileChange();
+					announcements.note();
 				}
 			});
-			ticker.schedule(pressurePeriod, () => {
+			ticker.schedule(pressureRefreshInterval, () => {
 				pressure.refresh();
 			});
 		},
--- a/packages/mesh/src/load-report.ts
+++ b/packages/mesh/src/load-report.ts
@@ -1,58 +1,58 @@
-/** Tells the other nodes when the load of the target beside this one has changed by enough to matter. */
+/** Reports the load of the local target to the other nodes when it has changed significantly. */
 import type {Clock} from '@egretspoke/shared';
 import {idleLoad, type TargetLoad} from './exchange.js';
 
-/** What the report needs. */
+/** Dependencies of the report. */
 export type LoadReportOptions = {
 	clock: Clock;
-	/** Ends the report. */
+	/** Stops the report. */
 	signal: AbortSignal;
 	load: () => TargetLoad;
-	/** How many nodes have to be told. */
+	/** Number of nodes that receive each report. */
 	listeners: () => number;
 	report: (load: TargetLoad) => void;
 };
 
-/** Milliseconds between two reports of a changed load to all listeners, for each of them: 50 hear every 400 ms. */
-const reportTimePerPeer = 8;
-/** The change of occupancy that is worth a report. */
-const reportedChange = 0.2;
-/** The change of the shed level that is; what it refuses follows it at once. */
-const reportedLevelChange = 0.04;
-/** The occupancy below which a target has room in any case; changes there are told by its outcomes only. */
+/** Interval between reports per listener, in milliseconds: with 50 listeners, each receives one every 400 ms at most. */
+const reportIntervalPerListener = 8;
+/** Minimum change of occupancy or failure share that is reported. */
+const minReportedChange = 0.2;
+/** Minimum change of the shed level that is reported; it takes effect on admission at once. */
+const minReportedLevelChange = 0.04;
+/** Occupancy below which a target has free slots in any case; changes below it are reported only with outcomes of requests. */
 const busyOccupancy = 0.5;
 
 /** Creates a report that has not started. */
 export function createLoadReport(options: LoadReportOptions): {start(): void} {
 	const {clock, signal, listeners, report} = options;
 	let reported = idleLoad;
-	const look = () => {
+	const check = () => {
 		if (signal.aborted) {
 			return;
 		}
 
 		const load = options.load();
-		if (isWorthTelling(load, reported)) {
+		if (isSignificantChange(load, reported)) {
 			reported = load;
 			report(load);
 		}
 
-		clock.setTimer(reportTimePerPeer * Math.max(1, listeners()), look);
+		clock.setTimer(reportIntervalPerListener * Math.max(1, listeners()), check);
 	};
 
-	return {start: look};
+	return {start: check};
 }
 
-function isWorthTelling(load: TargetLoad, reported: TargetLoad): boolean {
+function isSignificantChange(load: TargetLoad, reported: TargetLoad): boolean {
 	const isBusy = Math.max(load.occupancy, reported.occupancy) >= busyOccupancy;
 	const isChanged = (
 		kind: 'occupancy' | 'shedLevel' | 'failureShare',
-		least: number,
-	) => Math.abs(load[kind] - reported[kind]) >= least;
+		threshold: number,
+	) => Math.abs(load[kind] - reported[kind]) >= threshold;
 	return (
-		isChanged('shedLevel', reportedLevelChange) ||
+		isChanged('shedLevel', minReportedLevelChange) ||
 		(load.shedLevel === 0 && reported.shedLevel > 0) ||
-		isChanged('failureShare', reportedChange) ||
-		(isBusy && isChanged('occupancy', reportedChange))
+		isChanged('failureShare', minReportedChange) ||
+		(isBusy && isChanged('occupancy', minReportedChange))
 	);
 }
--- a/packages/mesh/src/local-candidate.ts
+++ b/packages/mesh/src/local-candidate.ts
@@ -1,16 +1,16 @@
-/** The target beside this node as one that may be chosen. */
+/** The local target as a candidate of target selection. */
 import type {TargetCandidate} from './directory.js';
-import type {Gatekeeper} from './gatekeeper.js';
+import type {TargetDispatcher} from './target-dispatcher.js';
 
-/** Stands for this node's own target among those that were tried; no node has an empty name. */
+/** The node name of the local target among the tried ones; no node has an empty name. */
 export const localNode = '';
 
-/** Its state as of now; it is doubtful while this node stops. */
+/** Creates the candidate with its current load; it is doubtful while this node is stopping. */
 export function createLocalCandidate(
-	gatekeeper: Gatekeeper,
+	dispatcher: TargetDispatcher,
 	isDoubtful: boolean,
 ): TargetCandidate {
-	const load = gatekeeper.load();
+	const load = dispatcher.load();
 	return {
 		node: localNode,
 		isOwn: true,
@@ -19,7 +19,7 @@
 		failureShare: load.failureShare,
 		runTime: load.runTime,
 		isDoubtful,
-		channel: gatekeeper,
+		channel: dispatcher,
 		note: () => undefined,
 	};
 }
--- a/packages/mesh/src/mesh-node.ts
+++ b/packages/mesh/src/mesh-node.ts
@@ -17,12 +17,12 @@
 } from './decisions/retry-budget.js';
 import {createDirectory} from './directory.js';
 import {createEntry} from './entry.js';
-import {createGatekeeper} from './gatekeeper.js';
+import {createTargetDispatcher} from './target-dispatcher.js';
 import {createGossip} from './gossip.js';
 import type {HeaderNames} from './header-names.js';
 import {createNewsHandler} from './peer-news.js';
-import {waitUntilIdle} from './planned-stop.js';
-import {createLearning} from './learning.js';
+import {waitUntilIdle} from './graceful-shutdown.js';
+import {createProfileUpdates} from './learning.js';
 import {createLoadReport} from './load-report.js';
 import {createMemberRegister} from './member-register.js';
 import type {MeshReporter} from './mesh-reporter.js';
@@ -38,7 +38,7 @@
 import {createSuspectRegister} from './suspect-register.js';
 import {createSuspects, toMessage} from './suspects.js';
 import {createTicker} from './ticker.js';
-import {createTargetBelief} from './target-belief.js';
+import {createTargetTracker} from './target-tracker.js';
 import type {Announcement, Withdrawal} from './target-record.js';
 
 /** What a deployment says of one node. */
@@ -134,8 +134,8 @@
 		self,
 		isStopping: () => isStopping,
 		follower: () => follower,
-		belief: () => belief,
-		gatekeeper: () => gatekeeper,
+		belief: () => targetTracker,
+		gatekeeper: () => dispatcher,
 		innerRoutes,
 		profile,
 	});
@@ -143,7 +143,10 @@
 	const tellVersion = () => {
 		const configuration = follower.current();
 		if (configuration) {
-			directory.tellOne({kind: 'version', version: configuration.version});
+			directory.sendToRandomPeer({
+				kind: 'version',
+				version: configuration.version,
+			});
 		}
 	};
 
@@ -156,14 +159,14 @@
 		headerNames,
 		reporter,
 		tellAll(message) {
-			directory.tellAll(message);
+			directory.broadcast(message);
 			peerListener.tellAll(message);
 		},
 		gossip: () => suspectNews,
 		register: () => suspectRegister,
 	});
 
-	const gatekeeper = createGatekeeper({
+	const dispatcher = createTargetDispatcher({
 		clock,
 		wheel,
 		headerNames,
@@ -174,7 +177,7 @@
 		suspects,
 		profile,
 		onReachable(reachable) {
-			belief.setReachable(reachable);
+			targetTracker.setReachable(reachable);
 		},
 	});
 	const follower = createConfigurationFollower({
@@ -192,7 +195,7 @@
 		onTaken(configuration) {
 			routes = createRouteTable(configuration);
 			callerListener.applyLimits(configuration.limits);
-			directory.tellAll({kind: 'version', version: configuration.version});
+			directory.broadcast({kind: 'version', version: configuration.version});
 		},
 	});
 
@@ -200,7 +203,7 @@
 		clock,
 		follower,
 		onHello(member) {
-			directory.noteHello(member);
+			directory.recordHello(member);
 		},
 		onMembers(members) {
 			directory.addMembers(members, 'peer');
@@ -252,7 +255,7 @@
 	});
 	const peerListener = createPeerListener({
 		clock,
-		gatekeeper,
+		gatekeeper: dispatcher,
 		greet: () => [
 			ownNews.hello(),
 			ownNews.state(),
@@ -284,7 +287,7 @@
 		policy,
 		levels() {
 			const levels = directory.shedLevels();
-			const {shedLevel} = gatekeeper.load();
+			const {shedLevel} = dispatcher.load();
 			levels.set(
 				settings.service,
 				Math.max(shedLevel, levels.get(settings.service) ?? 0),
@@ -292,16 +295,16 @@
 			return levels;
 		},
 	});
-	const learning = createLearning({
+	const profileUpdates = createProfileUpdates({
 		clock,
 		ticker,
 		signal: life.signal,
 		profile,
 		pressure,
-		onLearnt() {
+		onProfileChange() {
 			graph.take(self.node, settings.service, profile.profiles());
 		},
-		tell() {
+		announce() {
 			peerListener.tellAll(ownNews.profiles());
 		},
 	});
@@ -319,7 +322,7 @@
 		quotas,
 		headerNames,
 		directory,
-		gatekeeper,
+		dispatcher,
 		budget: createRetryBudget(settings.retryBudget, random.fork()),
 		policy,
 		innerRoutes,
@@ -353,22 +356,22 @@
 			directory.addMembers(members, 'store');
 		},
 		onEarlierLeaving(record) {
-			belief.takeEarlierLeaving(record);
+			targetTracker.restoreLeaving(record);
 		},
 	});
 
-	const belief = createTargetBelief({
+	const targetTracker = createTargetTracker({
 		clock,
-		gatekeeper,
+		dispatcher,
 		reporter,
-		keepLeaving: async (record) => register.keepLeaving(record),
+		persistLeaving: async (record) => register.keepLeaving(record),
 		onChange: tellState,
 	});
 
 	const reportLoad = createLoadReport({
 		clock,
 		signal: life.signal,
-		load: () => gatekeeper.load(),
+		load: () => dispatcher.load(),
 		listeners: () => peerListener.links(),
 		report(load) {
 			peerListener.tellAll({kind: 'load', load});
@@ -387,7 +390,7 @@
 			void suspectRegister.run(life.signal);
 			ticker.schedule(versionPeriod, tellVersion);
 			reportLoad.start();
-			learning.start();
+			profileUpdates.start();
 			quotas.start(ticker);
 			suspects.start(ticker);
 			reporter.notice('meshStarted', {
@@ -399,10 +402,10 @@
 			return {callers, peers};
 		},
 		isReady: () => routes !== undefined && !isStopping,
-		announce: async (announcement) => belief.announce(announcement),
-		withdraw: async (withdrawal) => belief.withdraw(withdrawal),
+		announce: async (announcement) => targetTracker.announce(announcement),
+		withdraw: async (withdrawal) => targetTracker.withdraw(withdrawal),
 		readings: () => ({
-			...gatekeeper.readings(),
+			...dispatcher.readings(),
 			configurationVersion: follower.current()?.version ?? 0,
 			isLeaving: isStopping,
 			openRequests: entry.open(),
@@ -419,14 +422,16 @@
 			reporter.notice('leaving', {reason: 'planned stop'});
 			tellState();
 			clock.setTimer(lastWorkTime, () => {
-				gatekeeper.stop();
+				dispatcher.stop();
 			});
 			callerListener.drain();
 			await waitUntilIdle(clock, settings.grace, () => {
 				callerListener.drain();
-				return entry.open() === 0 && gatekeeper.held() === 0;
+				return entry.open() === 0 && dispatcher.openRequests() === 0;
+			});
+			reporter.notice('drained', {
+				cut: entry.open() + dispatcher.openRequests(),
 			});
-			reporter.notice('drained', {cut: entry.open() + gatekeeper.held()});
 			abort();
 		},
 		abort,
@@ -439,7 +444,7 @@
 		callerListener.close();
 		peerListener.close();
 		directory.close();
-		gatekeeper.close();
+		dispatcher.close();
 		store.close();
 	}
 }
--- a/packages/mesh/src/route-pressure.ts
+++ b/packages/mesh/src/route-pressure.ts
@@ -1,4 +1,7 @@
-/** How much of each kind of new work is to be refused, by the levels that targets report and the call graph. */
+/**
+ * Determines which share of each kind of new work an entry node sheds, from the
+ * shed levels reported by targets and the call graph.
+ */
 import type {Clock} from '@egretspoke/shared';
 import type {CallGraph} from './decisions/call-graph.js';
 import type {MeshPolicy} from './decisions/mesh-policy.js';
@@ -10,7 +13,7 @@
 	type ShedSlice,
 } from './decisions/shed-order.js';
 
-/** What the pressure needs. */
+/** Dependencies of the route pressure. */
 export type RoutePressureOptions = {
 	clock: Clock;
 	graph: CallGraph;
@@ -19,69 +22,72 @@
 	levels: () => Map<string, number>;
 };
 
-/** New work as far as it matters for who is refused. */
+/** The properties of new work that decide whether it is shed. */
 export type NewWork = {
 	route: string;
-	/** The service that the route chose. */
+	/** The service selected by the route. */
 	service: string;
 	/** 0 is the highest. */
 	priority: number;
 };
 
-/** The pressure on the work that callers ask for at one node. */
+/** The overload of services, as it applies to the requests of one entry node. */
 export type RoutePressure = {
-	/** A caller asks for the work. */
-	noteRequest(work: NewWork): void;
-	/** The share of such work that is refused, for the sake of any service that it needs. */
+	/** Records a caller's request. */
+	recordRequest(work: NewWork): void;
+	/** The share of such work that is shed, from 0 to 1: the maximum over the services it needs. */
 	shareRefused(work: NewWork): number;
-	/** Forgets a part of what was asked for; to be called in each period. */
+	/** Decays the request counts; called once per `pressureRefreshInterval`. */
 	refresh(): void;
 };
 
-/** Milliseconds between two refreshes. */
-export const pressurePeriod = 600;
-/** Milliseconds for which the levels are taken as they were. */
-const levelLife = 50;
-/** The part of the counted requests that each period leaves: some ten seconds count. */
+/** Interval between refreshes, in milliseconds. */
+export const pressureRefreshInterval = 600;
+/** Milliseconds for which the levels are cached. */
+const levelCacheDuration = 50;
+/** Decay factor of the request counts per refresh, which makes a window of about ten seconds. */
 const memory = 0.95;
-/** Requests below which a kind is forgotten. */
-const leastRequests = 0.01;
+/** Decayed count below which a kind of work is dropped. */
+const minRequests = 0.01;
 
-type Asked = NewWork & {requests: number};
+type RecentWork = NewWork & {requests: number};
 
-type FullService = {service: string; level: number};
+type OverloadedService = {service: string; level: number};
 
 type SlicesByKind = Map<string, ShedSlice[]>;
 
-/** Creates the pressure of a node that nobody has asked yet. */
+/** Creates the pressure of a node without recorded requests. */
 export function createRoutePressure({
 	clock,
 	graph,
 	policy,
 	levels,
 }: RoutePressureOptions): RoutePressure {
-	const asked = new Map<string, Asked>();
-	/** By the service that is full, worked out when it is needed. */
-	const ordered = new Map<string, SlicesByKind>();
-	let full: FullService[] = [];
-	let lookedAt = Number.NEGATIVE_INFINITY;
+	const recentWork = new Map<string, RecentWork>();
+	/** The shed order by overloaded service, computed on demand. */
+	const slicesByService = new Map<string, SlicesByKind>();
+	let overloaded: OverloadedService[] = [];
+	let levelsReadAt = Number.NEGATIVE_INFINITY;
 
-	const listFull = (): FullService[] => {
+	const listOverloaded = (): OverloadedService[] => {
 		const now = clock.now();
-		if (now - lookedAt >= levelLife) {
-			lookedAt = now;
-			full = [...levels()]
+		if (now - levelsReadAt >= levelCacheDuration) {
+			levelsReadAt = now;
+			overloaded = [...levels()]
 				.filter(([, level]) => level > 0)
 				.map(([service, level]) => ({service, level}));
 		}
 
-		return full;
+		return overloaded;
 	};
 
-	const order = (service: string): SlicesByKind => {
+	const orderDemands = (service: string): SlicesByKind => {
 		const costAt = policy.has('dearFirst') ? graph.costsOf(service) : () => 1;
 		const demands: LoadDemand[] = [];
-		for (const [kind, {route, service: first, priority, requests}] of asked) {
+		for (const [
+			kind,
+			{route, service: first, priority, requests},
+		] of recentWork) {
 			demands.push({kind, priority, requests, cost: costAt(route, first)});
 		}
 
@@ -89,35 +95,35 @@
 	};
 
 	const slicesAt = (service: string, kind: string): ShedSlice[] | undefined => {
-		let slices = ordered.get(service);
+		let slices = slicesByService.get(service);
 		if (!slices) {
-			slices = order(service);
-			ordered.set(service, slices);
+			slices = orderDemands(service);
+			slicesByService.set(service, slices);
 		}
 
 		return slices.get(kind);
 	};
 
-	/** Work of which too little is known may need any service. */
+	/** Work with an unknown call graph may need any service. */
 	const mayNeed = ({route, service: first}: NewWork, service: string) =>
 		first === service ||
 		!policy.has('levelByRoute') ||
 		!graph.isKnown(route, first);
 
 	return {
-		noteRequest(work) {
+		recordRequest(work) {
 			const kind = kindOf(work);
-			const known = asked.get(kind);
+			const known = recentWork.get(kind);
 			if (known) {
 				known.requests++;
 				known.service = work.service;
 			} else {
-				asked.set(kind, {...work, requests: 1});
+				recentWork.set(kind, {...work, requests: 1});
 			}
 		},
 		shareRefused(work) {
 			let share = 0;
-			for (const {service, level} of listFull()) {
+			for (const {service, level} of listOverloaded()) {
 				const slices = slicesAt(service, kindOf(work));
 				if (slices) {
 					share = Math.max(share, shareRefused(level, slices));
@@ -129,11 +135,11 @@
 			return share;
 		},
 		refresh() {
-			ordered.clear();
-			for (const [kind, entry] of asked) {
+			slicesByService.clear();
+			for (const [kind, entry] of recentWork) {
 				entry.requests *= memory;
-				if (entry.requests < leastRequests) {
-					asked.delete(kind);
+				if (entry.requests < minRequests) {
+					recentWork.delete(kind);
 				}
 			}
 		},
--- /dev/null
+++ b/packages/mesh/src/target-dispatcher.ts
@@ -0,0 +1,499 @@
+/**
+ * Dispatches requests to the local target. Every request to that target passes
+ * through its own node.
+ *
+ * The target's guarantees are enforced here from local state alone: its
+ * concurrency, the order of requests, that it receives no new requests after
+ * its leaving was acknowledged, and that a refused request has not run. An
+ * entry node with a stale view of the fleet costs an extra hop, but breaks no
+ * guarantee.
+ */
+import type {MeshMetrics, MeshReadings} from '@egretspoke/observability';
+import {
+	createCrashWatch,
+	createIsolation,
+	isIsolated,
+	isQuarantined,
+	type CrashWatch,
+} from '@egretspoke/quarantine';
+import {probeListening, type Clock, type Timer} from '@egretspoke/shared';
+import {reportCrash, type WatchedRun} from './crash-report.js';
+import type {DeadlineWheel} from './deadline-wheel.js';
+import type {CallProfile} from './decisions/call-profile.js';
+import {createFailureShare} from './decisions/failure-share.js';
+import {createGate, type Gate} from './decisions/gate.js';
+import type {MeshPolicy} from './decisions/mesh-policy.js';
+import type {OfferBudgetOptions} from './decisions/offer-budget.js';
+import {createRunTime} from './decisions/run-time.js';
+import {shedPeriod} from './decisions/shed-level.js';
+import {
+	isConnectionLoss,
+	isTargetFailure,
+	type ForwardedRequest,
+	type Outcome,
+	type OutcomeHandler,
+	type RefusalReason,
+	type TargetChannel,
+	type TargetLoad,
+} from './exchange.js';
+import type {HeaderNames} from './header-names.js';
+import type {MeshReporter} from './mesh-reporter.js';
+import {createRepeatedOffers} from './repeated-offers.js';
+import type {Suspects} from './suspects.js';
+import {createTargetAccess} from './target-access.js';
+import {createTargetShedLevel} from './target-shed-level.js';
+import type {TargetRecord} from './target-record.js';
+import {startTargetRun, responseMargin, type TargetRun} from './target-run.js';
+
+/** Dependencies of a dispatcher. */
+export type TargetDispatcherOptions = {
+	clock: Clock;
+	wheel: DeadlineWheel;
+	headerNames: HeaderNames;
+	reporter: MeshReporter;
+	metrics: MeshMetrics;
+	policy: MeshPolicy;
+	/** Estimates the calls and run times of the target's routes. */
+	profile: CallProfile;
+	/** Limit on repeated offers to a service, over all nodes. */
+	retryBudget: OfferBudgetOptions;
+	/** Registry of requests during which targets crashed. */
+	suspects: Pick<Suspects, 'lookUp' | 'noteCrash' | 'noteAnswer'>;
+	/** Called with false when the target is unreachable or was replaced, with true once it answers again. */
+	onReachable: (isReachable: boolean) => void;
+};
+
+/** Dispatches requests to the local target. */
+export type TargetDispatcher = TargetChannel & {
+	/** Applies the current record of the target. */
+	setTarget(record: TargetRecord | undefined): void;
+	/** Whether requests for the service are currently accepted for admission. */
+	serves(service: string): boolean;
+	/** Refuses all waiting and new requests, because the node is stopping. */
+	stop(): void;
+	/** Records a call of the target to the route; returns the share, from 0 to 1, of the target's work that is a repeat. */
+	recordCall(route: string): number;
+	load(): TargetLoad;
+	/** Closes the connections to the target. */
+	close(): void;
+	/** Number of running and waiting requests. */
+	openRequests(): number;
+	readings(): Pick<
+		MeshReadings,
+		'inFlight' | 'waiting' | 'limit' | 'shedLevel'
+	>;
+};
+
+/** Maximum offers of one request after the first: with half of all offers declined, one request in a hundred needs more. */
+const maxRepeats = 6;
+/** Minimum time left for another offer, in milliseconds; with less it can't complete in time. */
+const minTimeToRepeat = 20;
+type PendingRequest = WatchedRun & {
+	/** Deadline of the final answer to the caller, on the clock. */
+	until: number;
+	onOutcome: OutcomeHandler;
+	run?: TargetRun;
+	offeredAt: number;
+	state: 'waiting' | 'running' | 'over';
+};
+
+/** Creates a dispatcher without a target. */
+export function createTargetDispatcher(
+	options: TargetDispatcherOptions,
+): TargetDispatcher {
+	const {clock, wheel, metrics, suspects} = options;
+	const isolation = createIsolation<PendingRequest>();
+	const targetShedLevel = createTargetShedLevel(options.policy);
+	const access = createTargetAccess({
+		...options,
+		onConnectionRefused() {
+			watch.refused();
+		},
+	});
+	const failures = createFailureShare();
+	const runTime = createRunTime();
+	const offers = createRepeatedOffers({
+		policy: options.policy,
+		budget: options.retryBudget,
+	});
+	const {profile} = options;
+	let admission: Gate<PendingRequest> = createGate<PendingRequest>(1);
+	let target: TargetRecord | undefined;
+	let isStopping = false;
+	let ticker: Timer | undefined;
+
+	const createTargetWatch = (): CrashWatch<PendingRequest> =>
+		createCrashWatch<PendingRequest>({
+			clock,
+			isLeaving: () => target?.isLeaving ?? true,
+			onCrash(crashedRuns, lost) {
+				for (const pending of isolation.takeOut(() => true)) {
+					refuse(pending, 'targetUnreachable');
+				}
+
+				const {noteCrash} = suspects;
+				reportCrash({...options, recordCrash: noteCrash}, crashedRuns, lost);
+			},
+			probe(onResult) {
+				if (target) {
+					probeListening(target.address, onResult);
+				} else {
+					onResult(true);
+				}
+			},
+		});
+	let watch = createTargetWatch();
+
+	const load = (): TargetLoad => ({
+		occupancy: (admission.running() + admission.waiting()) / admission.limit(),
+		shedLevel: targetShedLevel.own(),
+		failureShare: failures.value(clock.now()),
+		runTime: runTime.value(clock.now()),
+	});
+
+	const finish = (pending: PendingRequest, outcome: Outcome) => {
+		pending.state = 'over';
+		metrics.attemptEnded(outcome.kind);
+		pending.onOutcome(outcome, load());
+	};
+
+	const refuse = (pending: PendingRequest, reason: RefusalReason) => {
+		finish(pending, {kind: 'refused', reason});
+	};
+
+	const findRefusalReason = (service: string): RefusalReason | undefined => {
+		if (isStopping) {
+			return 'nodeStopping';
+		}
+
+		if (!target || !access.client()) {
+			return 'noTarget';
+		}
+
+		if (target.isLeaving) {
+			return 'targetLeaving';
+		}
+
+		if (target.service !== service) {
+			return 'otherService';
+		}
+
+		return access.isReachable() ? undefined : 'targetUnreachable';
+	};
+
+	const start = (pending: PendingRequest) => {
+		const now = clock.now();
+		const runAdmission = admission;
+		const client = access.client();
+		if (pending.until - now - responseMargin < 1 || !client) {
+			admission.finish(undefined);
+			refuse(pending, client ? 'noTimeLeft' : 'noTarget');
+			return;
+		}
+
+		if (!mayRunNow(pending)) {
+			admission.finish(undefined);
+			return;
+		}
+
+		pending.state = 'running';
+		pending.startedAt = now;
+		const runWatch = watch;
+		let lastOffer: Outcome | undefined;
+		const ordinal = runWatch.started();
+		metrics.targetStarted(now - pending.offeredAt);
+		offers.recordStart(pending.request, now);
+		profile.noteRun(pending.request.route);
+		pending.run = startTargetRun({
+			clock,
+			wheel,
+			client,
+			request: pending.request,
+			until: pending.until,
+			mayOfferAgain: () =>
+				access.client() === client &&
+				access.isReachable() &&
+				mayOfferAgain(pending, clock.now()),
+			onOffer(outcome) {
+				lastOffer = outcome;
+				recordOffer(pending, outcome);
+			},
+			onFreed(duration) {
+				if (!lastOffer || !isConnectionLoss(lastOffer)) {
+					runWatch.ended(ordinal);
+					leaveIsolation(pending);
+				}
+
+				metrics.targetEnded(clock.now() - now);
+				runAdmission.finish(duration);
+				recordRunTime(clock.now() - now, duration !== undefined);
+				if (duration !== undefined) {
+					profile.noteRunTime(pending.request.route, duration);
+				}
+
+				startNext();
+			},
+			onOutcome(outcome) {
+				offers.recordEnd(outcome, clock.now());
+				reportRepeats(pending, outcome);
+				if (!isConnectionLoss(outcome)) {
+					finishRun(pending, outcome);
+					return;
+				}
+
+				runWatch.lost(pending, ordinal, (hasCrashed) => {
+					leaveIsolation(pending);
+					finishRun(
+						pending,
+						hasCrashed ? {kind: 'lost', reason: 'targetCrashed'} : outcome,
+					);
+				});
+			},
+			onUnresponsive() {
+				access.renew();
+			},
+		});
+	};
+
+	/** Refuses a quarantined request; holds back a suspect one while another suspect one runs. */
+	const mayRunNow = (pending: PendingRequest): boolean => {
+		const suspect = suspects.lookUp(pending.request);
+		if (suspect && isQuarantined(suspect)) {
+			refuse(pending, 'quarantined');
+			return false;
+		}
+
+		const crashes = Math.max(suspect?.crashes ?? 0, pending.request.crashes);
+		return !isIsolated({crashes}) || isolation.enter(pending);
+	};
+
+	const leaveIsolation = (pending: PendingRequest) => {
+		const next = isolation.leave(pending);
+		if (next) {
+			admit(next);
+		}
+	};
+
+	const finishRun = (pending: PendingRequest, outcome: Outcome) => {
+		if (pending.state === 'running') {
+			finish(pending, outcome);
+		}
+	};
+
+	/** An aborted run is only a lower bound of the run time, so it counts only above the current estimate. */
+	const recordRunTime = (elapsed: number, isComplete: boolean) => {
+		const now = clock.now();
+		if (isComplete || elapsed > runTime.value(now)) {
+			runTime.note(elapsed, now);
+		}
+	};
+
+	const mayOfferAgain = (pending: PendingRequest, now: number): boolean => {
+		const isAllowed =
+			pending.state === 'running' &&
+			!target?.isLeaving &&
+			(pending.run?.repeats() ?? 0) < maxRepeats &&
+			pending.until - now >= minTimeToRepeat &&
+			offers.take(now);
+		if (isAllowed) {
+			metrics.sentAgain(pending.request.service);
+		}
+
+		return isAllowed;
+	};
+
+	const recordOffer = ({request}: PendingRequest, outcome: Outcome) => {
+		const now = clock.now();
+		failures.note(
+			outcome.kind !== 'answered' || isTargetFailure(outcome.status),
+			now,
+		);
+		offers.recordOffer(outcome, now);
+		if (outcome.kind === 'answered') {
+			access.recordAnswer();
+			suspects.noteAnswer(request);
+		}
+	};
+
+	const reportRepeats = ({request, run}: PendingRequest, outcome: Outcome) => {
+		const repeats = run?.repeats() ?? 0;
+		if (repeats > 0) {
+			options.reporter.decision(
+				'meshOfferedAgain',
+				request.requestId,
+				outcome.kind,
+				{repeats},
+			);
+		}
+	};
+
+	const startNext = () => {
+		for (let pending = admission.next(); pending; pending = admission.next()) {
+			start(pending);
+		}
+
+		scheduleTick();
+	};
+
+	const admit = (pending: PendingRequest) => {
+		const decision = admission.offer(pending.request, pending, clock.now());
+		if (decision === 'refuse') {
+			refuse(pending, 'noRoom');
+		} else if (decision === 'run') {
+			start(pending);
+		}
+	};
+
+	/** The timer runs only while requests wait or the shed level may change. */
+	const scheduleTick = () => {
+		const now = clock.now();
+		const isIdle =
+			admission.waiting() + isolation.waiting() === 0 &&
+			targetShedLevel.isIdle(offers.unserved(now));
+		if (ticker !== undefined || isIdle) {
+			return;
+		}
+
+		ticker = clock.setTimer(shedPeriod / 4, () => {
+			ticker = undefined;
+			tick();
+			scheduleTick();
+		});
+	};
+
+	let lastLevelUpdate = 0;
+	const tick = () => {
+		const now = clock.now();
+		const isOverdue = ({offeredAt, request}: PendingRequest) =>
+			offeredAt + request.maxWait < now;
+		for (const pending of [
+			...admission.expire(now),
+			...isolation.takeOut(isOverdue),
+		]) {
+			refuse(pending, 'waitedTooLong');
+		}
+
+		const elapsed = now - lastLevelUpdate;
+		if (elapsed >= shedPeriod) {
+			lastLevelUpdate = now;
+			const declined = offers.declined(now);
+			targetShedLevel.update({
+				wait: admission.expectedWait(),
+				occupancy: admission.running() / admission.limit(),
+				arriving: ((1 - declined) * admission.takeArrivals()) / elapsed,
+				declined,
+				unserved: offers.unserved(now),
+			});
+		}
+	};
+
+	const isKnownIncarnation = (record: TargetRecord) =>
+		target?.targetId === record.targetId &&
+		target.startedAt === record.startedAt &&
+		target.address === record.address;
+
+	const removeWaiting = (): PendingRequest[] => [
+		...admission.clear(),
+		...isolation.takeOut(() => true),
+	];
+
+	return {
+		setTarget(record) {
+			const isNewIncarnation =
+				record !== undefined && !isKnownIncarnation(record);
+			if (isNewIncarnation) {
+				watch.refused();
+			}
+
+			target = record;
+			if (!record) {
+				return;
+			}
+
+			// An announcement shows that the target is alive; the next request shows whether it is reachable.
+			access.assumeReachable();
+			if (isNewIncarnation) {
+				const waiting = removeWaiting();
+				watch = createTargetWatch();
+				admission = createGate<PendingRequest>(
+					options.policy.limitOf(record.slots),
+				);
+				access.close();
+				if (!record.isLeaving) {
+					access.open(record);
+				}
+
+				for (const pending of waiting) {
+					refuse(pending, 'targetReplaced');
+				}
+			}
+
+			admission.setLimit(options.policy.limitOf(record.slots));
+			if (record.isLeaving) {
+				for (const pending of removeWaiting()) {
+					refuse(pending, 'targetLeaving');
+				}
+			}
+		},
+		serves: (service) => findRefusalReason(service) === undefined,
+		stop() {
+			isStopping = true;
+			for (const pending of removeWaiting()) {
+				refuse(pending, 'nodeStopping');
+			}
+		},
+		send(request, onOutcome) {
+			const now = clock.now();
+			const pending: PendingRequest = {
+				request,
+				until: now + request.timeLeft,
+				onOutcome,
+				offeredAt: now,
+				startedAt: now,
+				state: 'waiting',
+			};
+			const refusalReason = findRefusalReason(request.service);
+			if (refusalReason) {
+				refuse(pending, refusalReason);
+				return () => undefined;
+			}
+
+			admit(pending);
+			scheduleTick();
+			return () => {
+				giveUp(pending);
+			};
+		},
+		recordCall(route) {
+			profile.noteCall(route);
+			return offers.recordCall();
+		},
+		load,
+		close() {
+			access.close();
+		},
+		openRequests: () =>
+			admission.running() + admission.waiting() + isolation.waiting(),
+		readings: () => ({
+			inFlight: admission.running(),
+			waiting: admission.waiting(),
+			limit: admission.limit(),
+			shedLevel: targetShedLevel.own(),
+		}),
+	};
+
+	function giveUp(pending: PendingRequest): void {
+		if (pending.state === 'waiting') {
+			pending.state = 'over';
+			admission.withdraw(pending);
+			isolation.withdraw(pending);
+		} else if (pending.state === 'running') {
+			pending.state = 'over';
+			// A request that isn't idempotent runs to its end: its caller can't retry it,
+			// so aborting it would save nothing.
+			if (pending.request.isIdempotent) {
+				pending.run?.cancel();
+			}
+		}
+	}
+}
--- a/packages/mesh/src/target-belief.ts
+++ b/packages/mesh/src/target-tracker.ts
@@ -1,52 +1,54 @@
-/** What this node believes of the target beside it, and whom it tells when that changes. */
+/** Tracks the state of the local target and publishes its changes. */
 import type {Clock} from '@egretspoke/shared';
-import type {Gatekeeper} from './gatekeeper.js';
+import type {TargetDispatcher} from './target-dispatcher.js';
 import type {MeshReporter} from './mesh-reporter.js';
 import type {TargetState} from './peer-message.js';
 import {
-	isSameStart,
-	takeAnnouncement,
-	takeWithdrawal,
+	isSameIncarnation,
+	applyAnnouncement,
+	applyWithdrawal,
 	type Announcement,
 	type RecordChange,
 	type TargetRecord,
 	type Withdrawal,
 } from './target-record.js';
 
-/** What the belief needs. */
-export type TargetBeliefOptions = {
+/** Dependencies of the tracker. */
+export type TargetTrackerOptions = {
 	clock: Clock;
-	gatekeeper: Pick<Gatekeeper, 'setTarget'>;
+	dispatcher: Pick<TargetDispatcher, 'setTarget'>;
 	reporter: MeshReporter;
-	/** Keeps a leaving beyond the life of this process. */
-	keepLeaving: (record: TargetRecord) => Promise<void>;
-	/** The other nodes have to know. */
+	/** Persists a leaving, so that it survives a restart of this process. */
+	persistLeaving: (record: TargetRecord) => Promise<void>;
+	/** Called when the state changed and the other nodes must be notified. */
 	onChange: () => void;
 };
 
-/** The belief. */
-export type TargetBelief = {
-	/** Takes what the target says of itself; false when a later start is known. */
+/** The state of the local target. */
+export type TargetTracker = {
+	/** Applies an announcement of the target; false if a later incarnation is known. */
 	announce(announcement: Announcement): Promise<boolean>;
-	/** Takes a target's farewell; false when it is none of the known target's. */
+	/** Applies a target's withdrawal; false if it belongs to another target or incarnation. */
 	withdraw(withdrawal: Withdrawal): Promise<boolean>;
-	/** Takes the leaving that an earlier start of this node acknowledged. */
-	takeEarlierLeaving(record: TargetRecord): void;
+	/** Restores a leaving that this node acknowledged before its restart. */
+	restoreLeaving(record: TargetRecord): void;
 	setReachable(isReachable: boolean): void;
-	/** What the other nodes are told; undefined while no target is known. */
+	/** The state as sent to other nodes; undefined while no target is known. */
 	state(): TargetState | undefined;
 };
 
-/** Creates the belief that there is no target. */
-export function createTargetBelief(options: TargetBeliefOptions): TargetBelief {
-	const {clock, gatekeeper, reporter, onChange} = options;
+/** Creates a tracker without a target. */
+export function createTargetTracker(
+	options: TargetTrackerOptions,
+): TargetTracker {
+	const {clock, dispatcher, reporter, onChange} = options;
 	let target: TargetRecord | undefined;
 	let isReachable = true;
 
 	const setTarget = (record: TargetRecord) => {
 		target = record;
 		isReachable = true;
-		gatekeeper.setTarget(record);
+		dispatcher.setTarget(record);
 		reporter.notice('meshTargetChanged', {
 			target: record.targetId,
 			service: record.service,
@@ -58,32 +60,34 @@
 		onChange();
 	};
 
-	/** An announcement without news still shows that the target lives. */
-	const renew = (record: TargetRecord) => {
+	/** An announcement without changes still shows that the target is alive. */
+	const refresh = (record: TargetRecord) => {
 		target = record;
 		if (!isReachable) {
 			isReachable = true;
-			gatekeeper.setTarget(record);
+			dispatcher.setTarget(record);
 			onChange();
 		}
 	};
 
-	const take = async (change: RecordChange): Promise<boolean> => {
+	const apply = async (change: RecordChange): Promise<boolean> => {
 		if (change.kind === 'stale') {
 			return false;
 		}
 
 		const {record} = change;
-		const isKept =
-			target !== undefined && isSameStart(target, record) && target.isLeaving;
+		const isPersisted =
+			target !== undefined &&
+			isSameIncarnation(target, record) &&
+			target.isLeaving;
 		if (change.kind === 'changed') {
 			setTarget(record);
 		} else {
-			renew(record);
+			refresh(record);
 		}
 
-		if (record.isLeaving && !isKept) {
-			await options.keepLeaving(record);
+		if (record.isLeaving && !isPersisted) {
+			await options.persistLeaving(record);
 		}
 
 		return true;
@@ -91,10 +95,10 @@
 
 	return {
 		announce: async (announcement) =>
-			take(takeAnnouncement(target, announcement)),
+			apply(applyAnnouncement(target, announcement)),
 		withdraw: async (withdrawal) =>
-			take(takeWithdrawal(target, withdrawal, clock.date().getTime())),
-		takeEarlierLeaving(record) {
+			apply(applyWithdrawal(target, withdrawal, clock.date().getTime())),
+		restoreLeaving(record) {
 			if (!target || target.startedAt < record.startedAt) {
 				setTarget(record);
 			} else if (target.startedAt === record.startedAt && !target.isLeaving) {
