--- a/packages/mesh/__tests__/wanted-members.spec.ts
+++ b/packages/mesh/__tests__/desired-links.spec.ts
@@ -5,7 +5,7 @@
 import {createPeer, type Peer} from '../src/peer.js';
 import type {PeerLink} from '../src/peer-link.js';
 import type {Member} from '../src/peer-message.js';
-import {createWantedMembers} from '../src/wanted-members.js';
+import {createWantedMembers} from '../src/desired-links.js';
 
 const members = Array.from({length: 40}, (_, index): Member => ({
 	node: `node-${index}`,
--- a/packages/mesh/__tests__/member-news.spec.ts
+++ b/packages/mesh/__tests__/member-gossip.spec.ts
@@ -1,7 +1,7 @@
 import {createRandom, createVirtualClock} from '@egretspoke/shared';
 import {expect} from 'chai';
 import {createKnownMembers} from '../src/known-members.js';
-import {createMemberNews} from '../src/member-news.js';
+import {createMemberNews} from '../src/member-gossip.js';
 import type {PeerLink} from '../src/peer-link.js';
 import type {Member, PeerMessage} from '../src/peer-message.js';
 
--- a/packages/mesh/__tests__/peer-news.spec.ts
+++ b/packages/mesh/__tests__/peer-updates.spec.ts
@@ -1,7 +1,7 @@
 import {createVirtualClock} from '@egretspoke/shared';
 import {expect} from 'chai';
 import type {PeerMessage} from '../src/peer-message.js';
-import {createNewsHandler} from '../src/peer-news.js';
+import {createNewsHandler} from '../src/peer-updates.js';
 import type {RoutingConfiguration} from '../src/route.js';
 
 describe('news on a link', () => {
--- a/packages/mesh/__tests__/paced-news.spec.ts
+++ b/packages/mesh/__tests__/throttled-updates.spec.ts
@@ -1,6 +1,6 @@
 import {createVirtualClock} from '@egretspoke/shared';
 import {expect} from 'chai';
-import {createPacedNews} from '../src/paced-news.js';
+import {createPacedNews} from '../src/throttled-updates.js';
 
 describe('paced news', () => {
 	function createNews(longestPause: number) {
--- a/packages/mesh/src/directory.ts
+++ b/packages/mesh/src/directory.ts
@@ -8,7 +8,7 @@
 import type {Clock, Random} from '@egretspoke/shared';
 import type {FeedPeer} from './decisions/feed-followers.js';
 import {createKnownMembers} from './known-members.js';
-import {createMemberNews} from './member-news.js';
+import {createMemberNews} from './member-gossip.js';
 import {
 	createPeerCandidate,
 	takeLoad,
@@ -25,7 +25,7 @@
 import {probePeriod} from './peer-link.js';
 import {createPeerLinks} from './peer-links.js';
 import type {Ticker} from './ticker.js';
-import {createWantedMembers} from './wanted-members.js';
+import {createWantedMembers} from './desired-links.js';
 
 export type {TargetCandidate} from './peer.js';
 
--- a/packages/mesh/src/learning.ts
+++ b/packages/mesh/src/learning.ts
@@ -1,7 +1,7 @@
 /** The periods in which a node learns its target's calls and works out the pressure on routes. */
 import type {Clock} from '@egretspoke/shared';
 import {profilePeriod, type CallProfile} from './decisions/call-profile.js';
-import {createPacedNews} from './paced-news.js';
+import {createPacedNews} from './throttled-updates.js';
 import {pressurePeriod, type RoutePressure} from './route-pressure.js';
 import type {Ticker} from './ticker.js';
 
