--- a/packages/mesh/__tests__/desired-links.spec.ts
+++ b/packages/mesh/__tests__/desired-links.spec.ts
@@ -5,7 +5,7 @@
 import {createPeer, type Peer} from '../src/peer.js';
 import type {PeerLink} from '../src/peer-link.js';
 import type {Member} from '../src/peer-message.js';
-import {createWantedMembers} from '../src/desired-links.js';
+import {createDesiredLinks} from '../src/desired-links.js';
 
 const members = Array.from({length: 40}, (_, index): Member => ({
 	node: `node-${index}`,
@@ -35,7 +35,7 @@
 	const peers = new Map<string, Peer>();
 	const down = new Set<string>();
 	const pinned: string[] = [];
-	const wanted = createWantedMembers({
+	const wanted = createDesiredLinks({
 		clock,
 		self: {node: 'self', dataCentre: 'near'},
 		known,
@@ -105,7 +105,7 @@
 	it('are more once callers ask for the service', () => {
 		const node = createNode();
 		const before = node.run(10).size;
-		expect(node.wanted.noteAsked('reads')).to.equal(true);
+		expect(node.wanted.recordRequest('reads')).to.equal(true);
 		expect(node.run(10).size).to.be.above(before);
 	});
 
@@ -113,7 +113,7 @@
 		// A few targets turn slow, and by chance a node's subset holds just those:
 		// its callers would wait while other targets of the data centre have room.
 		const node = createNode();
-		node.wanted.noteAsked('reads');
+		node.wanted.recordRequest('reads');
 		const before = node.run(10).size;
 		for (const peer of node.peers.values()) {
 			peer.load = {...idleLoad, occupancy: 1.2};
@@ -126,7 +126,7 @@
 		// Machines are replaced over the months and their rows stay behind; a node
 		// would come to try nothing but machines that no longer exist.
 		const node = createNode();
-		node.wanted.noteAsked('reads');
+		node.wanted.recordRequest('reads');
 		const first = node.run(10);
 		for (const name of first) {
 			node.down.add(name);
--- a/packages/mesh/__tests__/member-gossip.spec.ts
+++ b/packages/mesh/__tests__/member-gossip.spec.ts
@@ -1,7 +1,7 @@
 import {createRandom, createVirtualClock} from '@egretspoke/shared';
 import {expect} from 'chai';
 import {createKnownMembers} from '../src/known-members.js';
-import {createMemberNews} from '../src/member-gossip.js';
+import {createMemberGossip} from '../src/member-gossip.js';
 import type {PeerLink} from '../src/peer-link.js';
 import type {Member, PeerMessage} from '../src/peer-message.js';
 
@@ -40,7 +40,7 @@
 	let sent = 0;
 	const nodes = members.map((self) => {
 		const known = createKnownMembers(self.node);
-		const news = createMemberNews({
+		const news = createMemberGossip({
 			clock,
 			random: random.fork(),
 			self,
--- a/packages/mesh/__tests__/peer-updates.spec.ts
+++ b/packages/mesh/__tests__/peer-updates.spec.ts
@@ -1,7 +1,7 @@
 import {createVirtualClock} from '@egretspoke/shared';
 import {expect} from 'chai';
 import type {PeerMessage} from '../src/peer-message.js';
-import {createNewsHandler} from '../src/peer-updates.js';
+import {createUpdateHandler} from '../src/peer-updates.js';
 import type {RoutingConfiguration} from '../src/route.js';
 
 describe('news on a link', () => {
@@ -19,7 +19,7 @@
 	function createNode(initial = 0) {
 		const clock = createVirtualClock();
 		let current = initial > 0 ? configurationOf(initial) : undefined;
-		const handle = createNewsHandler({
+		const handle = createUpdateHandler({
 			clock,
 			follower: {
 				current: () => current,
--- a/packages/mesh/__tests__/throttled-updates.spec.ts
+++ b/packages/mesh/__tests__/throttled-updates.spec.ts
@@ -1,16 +1,16 @@
 import {createVirtualClock} from '@egretspoke/shared';
 import {expect} from 'chai';
-import {createPacedNews} from '../src/throttled-updates.js';
+import {createThrottledUpdates} from '../src/throttled-updates.js';
 
 describe('paced news', () => {
 	function createNews(longestPause: number) {
 		const clock = createVirtualClock();
 		const told: number[] = [];
-		const news = createPacedNews({
+		const news = createThrottledUpdates({
 			clock,
-			firstPause: 1000,
-			longestPause,
-			tell() {
+			initialInterval: 1000,
+			maxInterval: longestPause,
+			send() {
 				told.push(clock.now());
 			},
 		});
@@ -19,7 +19,7 @@
 
 	it('are told at once when nothing was told lately', () => {
 		const {news, told} = createNews(1000);
-		news.note();
+		news.schedule();
 		expect(told).to.deep.equal([0]);
 	});
 
@@ -28,7 +28,7 @@
 		// every linked node, they are most of what nodes have to read.
 		const {clock, news, told} = createNews(8000);
 		for (let second = 0; second < 40; second++) {
-			news.note();
+			news.schedule();
 			clock.advanceTo(clock.now() + 1000);
 		}
 
@@ -38,9 +38,9 @@
 
 	it('never leave the last change untold', () => {
 		const {clock, news, told} = createNews(1000);
-		news.note();
+		news.schedule();
 		clock.advanceTo(10);
-		news.note();
+		news.schedule();
 		clock.advanceTo(5000);
 		expect(told).to.deep.equal([0, 1000]);
 	});
--- a/packages/mesh/src/desired-links.ts
+++ b/packages/mesh/src/desired-links.ts
@@ -20,7 +20,7 @@
 import type {Member} from './peer-message.js';
 
 /** What the choice needs. */
-export type WantedMembersOptions = {
+export type DesiredLinksOptions = {
 	clock: Clock;
 	self: Pick<Member, 'node' | 'dataCentre'>;
 	known: KnownMembers;
@@ -31,11 +31,11 @@
 };
 
 /** The choice. */
-export type WantedMembers = {
+export type DesiredLinks = {
 	/** Takes note of a request for the service; true when the subset has to be looked at now. */
-	noteAsked(service: string): boolean;
+	recordRequest(service: string): boolean;
 	/** The member gave a sign of life. */
-	noteAlive(node: string): void;
+	recordAlive(node: string): void;
 	/** The names of the members to link to; to be called in each period. */
 	choose(): Set<string>;
 };
@@ -56,13 +56,13 @@
 };
 
 /** Creates the choice of a node that nobody has asked yet. */
-export function createWantedMembers({
+export function createDesiredLinks({
 	clock,
 	self,
 	known,
 	peers,
 	pinned,
-}: WantedMembersOptions): WantedMembers {
+}: DesiredLinksOptions): DesiredLinks {
 	const rankOf = createNameRank(self.node);
 	const subsets = new Map<string, ServiceSubset>();
 	/** By node, the instant at which it was found unreachable. */
@@ -144,14 +144,14 @@
 	};
 
 	return {
-		noteAsked(service) {
+		recordRequest(service) {
 			const now = clock.now();
 			const subset = subsetOf(service);
 			const isFirst = now - subset.askedAt >= askedTime;
 			subset.askedAt = now;
 			return isFirst;
 		},
-		noteAlive(node) {
+		recordAlive(node) {
 			reachability += unreachable.delete(node) ? 1 : 0;
 		},
 		choose() {
--- a/packages/mesh/src/directory.ts
+++ b/packages/mesh/src/directory.ts
@@ -8,7 +8,7 @@
 import type {Clock, Random} from '@egretspoke/shared';
 import type {FeedPeer} from './decisions/feed-followers.js';
 import {createKnownMembers} from './known-members.js';
-import {createMemberNews} from './member-gossip.js';
+import {createMemberGossip} from './member-gossip.js';
 import {
 	createPeerCandidate,
 	takeLoad,
@@ -25,7 +25,7 @@
 import {probePeriod} from './peer-link.js';
 import {createPeerLinks} from './peer-links.js';
 import type {Ticker} from './ticker.js';
-import {createWantedMembers} from './desired-links.js';
+import {createDesiredLinks} from './desired-links.js';
 
 export type {TargetCandidate} from './peer.js';
 
@@ -103,14 +103,14 @@
 		onPeer: options.onPeer,
 	});
 	const {peers} = links;
-	const wantedMembers = createWantedMembers({
+	const wantedMembers = createDesiredLinks({
 		clock,
 		self,
 		known,
 		peers,
 		pinned: options.pinned,
 	});
-	const news = createMemberNews({clock, random, self, links: links.usable});
+	const news = createMemberGossip({clock, random, self, links: links.usable});
 
 	/** An address may belong to another node by now, which then answers in its place. */
 	const checkIdentity = (peer: Peer, found: Member): boolean => {
@@ -203,11 +203,11 @@
 		addMembers,
 		noteHello(member) {
 			addMembers([member], 'peer');
-			wantedMembers.noteAlive(member.node);
+			wantedMembers.recordAlive(member.node);
 			peers.get(member.node)?.link.retryNow();
 		},
 		candidates(service, tried) {
-			if (wantedMembers.noteAsked(service)) {
+			if (wantedMembers.recordRequest(service)) {
 				refresh();
 			}
 
--- a/packages/mesh/src/learning.ts
+++ b/packages/mesh/src/learning.ts
@@ -1,7 +1,7 @@
 /** The periods in which a node learns its target's calls and works out the pressure on routes. */
 import type {Clock} from '@egretspoke/shared';
 import {profilePeriod, type CallProfile} from './decisions/call-profile.js';
-import {createPacedNews} from './throttled-updates.js';
+import {createThrottledUpdates} from './throttled-updates.js';
 import {pressurePeriod, type RoutePressure} from './route-pressure.js';
 import type {Ticker} from './ticker.js';
 
@@ -26,11 +26,11 @@
 /** Creates the learning, which has not started. */
 export function createLearning(options: LearningOptions): {start(): void} {
 	const {clock, ticker, signal, profile, pressure} = options;
-	const news = createPacedNews({
+	const news = createThrottledUpdates({
 		clock,
-		firstPause: firstNewsPause,
-		longestPause: longestNewsPause,
-		tell: options.tell,
+		initialInterval: firstNewsPause,
+		maxInterval: longestNewsPause,
+		send: options.tell,
 	});
 	signal.addEventListener('abort', () => {
 		news.close();
@@ -40,7 +40,7 @@
 			ticker.schedule(profilePeriod, () => {
 				if (profile.update()) {
 					options.onLearnt();
-					news.note();
+					news.schedule();
 				}
 			});
 			ticker.schedule(pressurePeriod, () => {
--- a/packages/mesh/src/local-state.ts
+++ b/packages/mesh/src/local-state.ts
@@ -12,7 +12,7 @@
 import type {TargetBelief} from './target-belief.js';
 
 /** Where the news come from; each is asked when something is told. */
-export type OwnNewsOptions = {
+export type LocalStateMessagesOptions = {
 	self: Member;
 	isStopping: () => boolean;
 	follower: () => Pick<ConfigurationFollower, 'current' | 'isFollowing'>;
@@ -23,14 +23,14 @@
 };
 
 /** The messages, as of now. */
-export type OwnNews = {
+export type LocalStateMessages = {
 	hello(): HelloMessage;
 	state(): StateMessage;
 	profiles(): ProfilesMessage;
 };
 
 /** Creates the news of a node. */
-export function createOwnNews(options: OwnNewsOptions): OwnNews {
+export function createLocalStateMessages(options: LocalStateMessagesOptions): LocalStateMessages {
 	const {self, follower, belief, gatekeeper, innerRoutes, profile} = options;
 	return {
 		hello: () => ({
--- a/packages/mesh/src/member-gossip.ts
+++ b/packages/mesh/src/member-gossip.ts
@@ -3,13 +3,13 @@
 import type {Member} from './peer-message.js';
 
 /** What the news need. */
-export type MemberNewsOptions = Omit<GossipOptions<Member>, 'toMessage'>;
+export type MemberGossipOptions = Omit<GossipOptions<Member>, 'toMessage'>;
 
 /** The news that wait to be passed on. */
-export type MemberNews = Gossip<Member>;
+export type MemberGossip = Gossip<Member>;
 
 /** Creates news of nobody. */
-export function createMemberNews(options: MemberNewsOptions): MemberNews {
+export function createMemberGossip(options: MemberGossipOptions): MemberGossip {
 	return createGossip({
 		...options,
 		toMessage: (members) => ({kind: 'members', members}),
--- a/packages/mesh/src/mesh-node.ts
+++ b/packages/mesh/src/mesh-node.ts
@@ -20,14 +20,14 @@
 import {createGatekeeper} from './gatekeeper.js';
 import {createGossip} from './gossip.js';
 import type {HeaderNames} from './header-names.js';
-import {createNewsHandler} from './peer-updates.js';
+import {createUpdateHandler} from './peer-updates.js';
 import {waitUntilIdle} from './planned-stop.js';
 import {createLearning} from './learning.js';
 import {createLoadReport} from './load-report.js';
 import {createMemberRegister} from './member-register.js';
 import type {MeshReporter} from './mesh-reporter.js';
-import {createOwnNews} from './local-state.js';
-import {createPacedNews} from './throttled-updates.js';
+import {createLocalStateMessages} from './local-state.js';
+import {createThrottledUpdates} from './throttled-updates.js';
 import {createQuotaExchange, type QuotaTolerance} from './quota-exchange.js';
 import {createPeerListener} from './peer-listener.js';
 import type {Member} from './peer-message.js';
@@ -130,7 +130,7 @@
 	const innerRoutes = createInnerRoutes(self.service);
 	const profile = createCallProfile();
 	const graph = createCallGraph();
-	const ownNews = createOwnNews({
+	const ownNews = createLocalStateMessages({
 		self,
 		isStopping: () => isStopping,
 		follower: () => follower,
@@ -196,7 +196,7 @@
 		},
 	});
 
-	const receive = createNewsHandler({
+	const receive = createUpdateHandler({
 		clock,
 		follower,
 		onHello(member) {
@@ -305,11 +305,11 @@
 			peerListener.tellAll(ownNews.profiles());
 		},
 	});
-	const newRoutes = createPacedNews({
+	const newRoutes = createThrottledUpdates({
 		clock,
-		firstPause: newRoutesPause,
-		longestPause: newRoutesPause,
-		tell: tellState,
+		initialInterval: newRoutesPause,
+		maxInterval: newRoutesPause,
+		send: tellState,
 	});
 	const entry = createEntry({
 		clock,
@@ -327,7 +327,7 @@
 		pressure,
 		suspects,
 		onNewRoute() {
-			newRoutes.note();
+			newRoutes.schedule();
 		},
 		reporter,
 		metrics,
--- a/packages/mesh/src/peer-updates.ts
+++ b/packages/mesh/src/peer-updates.ts
@@ -12,7 +12,7 @@
 type Reply = (message: PeerMessage) => void;
 
 /** What the handler needs. */
-export type NewsOptions = {
+export type UpdateHandlerOptions = {
 	clock: Clock;
 	follower: Pick<ConfigurationFollower, 'current' | 'offer'>;
 	/** A member said hello. */
@@ -28,13 +28,13 @@
 };
 
 /** Takes a message, and may send one back on the same link. */
-export type NewsHandler = (message: PeerMessage, reply: Reply) => void;
+export type UpdateHandler = (message: PeerMessage, reply: Reply) => void;
 
 /** Milliseconds after which another node is asked for a configuration. */
 const answerTime = 300;
 
 /** Creates the handler. */
-export function createNewsHandler(options: NewsOptions): NewsHandler {
+export function createUpdateHandler(options: UpdateHandlerOptions): UpdateHandler {
 	const {clock, follower} = options;
 	/** Nodes that have a newer configuration, in the order in which they told so. */
 	let providers: Array<{version: number; ask: () => void}> = [];
--- a/packages/mesh/src/throttled-updates.ts
+++ b/packages/mesh/src/throttled-updates.ts
@@ -2,26 +2,26 @@
 import type {Clock, Timer} from '@egretspoke/shared';
 
 /** How news are paced. */
-export type PacedNewsOptions = {
+export type ThrottledUpdatesOptions = {
 	clock: Clock;
 	/** Milliseconds between the first two announcements; doubled after each one, up to the longest. */
-	firstPause: number;
-	longestPause: number;
+	initialInterval: number;
+	maxInterval: number;
 	/** Announces the current value. */
-	tell: () => void;
+	send: () => void;
 };
 
 /** The news. */
-export type PacedNews = {
+export type ThrottledUpdates = {
 	/** Something has changed. */
-	note(): void;
+	schedule(): void;
 	close(): void;
 };
 
 /** Creates news of which nothing was told. */
-export function createPacedNews(options: PacedNewsOptions): PacedNews {
-	const {clock, longestPause, tell} = options;
-	let pause = options.firstPause;
+export function createThrottledUpdates(options: ThrottledUpdatesOptions): ThrottledUpdates {
+	const {clock, maxInterval: longestPause, send: tell} = options;
+	let pause = options.initialInterval;
 	let hasChanged = false;
 	let timer: Timer | undefined;
 
@@ -38,7 +38,7 @@
 	};
 
 	return {
-		note() {
+		schedule() {
 			hasChanged = true;
 			if (!timer) {
 				tellNow();
