--- a/packages/mesh/__tests__/member-register.spec.ts
+++ b/packages/mesh/__tests__/member-register.spec.ts
@@ -102,7 +102,7 @@
 			// The node is killed right after it acknowledged that its target leaves.
 			const store = createRowStoreStandIn();
 			const first = await start(store, self);
-			await first.register.keepLeaving(leaving);
+			await first.register.persistLeaving(leaving);
 			await first.end();
 			const node = await start(store, {...self, startedAt: 200});
 			expect(node.told.leavings).to.deep.equal([leaving]);
@@ -115,7 +115,7 @@
 			const store = createRowStoreStandIn();
 			await startAndEnd(store);
 			const node = await start(store, {...self, startedAt: 200});
-			await node.register.keepLeaving(leaving);
+			await node.register.persistLeaving(leaving);
 			expect(store.rows.get(self.node)?.value).to.include('target-1');
 			await node.end();
 		});
--- a/packages/mesh/__tests__/quota-fleet.ts
+++ b/packages/mesh/__tests__/quota-fleet.ts
@@ -62,14 +62,14 @@
 				return;
 			}
 
-			receiver.exchange.takeUse(message, (reply) => {
+			receiver.exchange.receiveUse(message, (reply) => {
 				clock.setTimer(wayTime, () => {
 					const isBack =
 						reply.kind === 'quotaGrant' &&
 						isLinked(receiver.member, from.member.node) &&
 						nodes.get(from.member.node) === from;
 					if (isBack) {
-						from.exchange.takeGrant(reply);
+						from.exchange.receiveGrant(reply);
 					}
 				});
 			});
@@ -142,7 +142,7 @@
 					const {exchange} = nodes.get(node)!;
 					const isAdmitted = exchange.allows(workspaces[0]!);
 					if (isAdmitted) {
-						exchange.noteAdmitted(workspaces[0]!);
+						exchange.recordAdmitted(workspaces[0]!);
 					}
 
 					requests.push({at: clock.now(), isAdmitted});
--- a/packages/mesh/__tests__/suspect-fleet.ts
+++ b/packages/mesh/__tests__/suspect-fleet.ts
@@ -84,7 +84,7 @@
 		bytes += JSON.stringify(message).length;
 		clock.setTimer(wayTime, () => {
 			if (message.kind === 'suspects' && nodes.get(to.member.node) === to) {
-				to.suspects.take(message);
+				to.suspects.receive(message);
 			}
 		});
 	};
@@ -127,7 +127,7 @@
 				Number(member.node.slice(5)) < 5 ||
 				!reach(node).some((to) => Number(to.member.node.slice(5)) < 5),
 			onSuspects(suspects) {
-				node.suspects.takeStored(suspects);
+				node.suspects.applyStored(suspects);
 			},
 		});
 		const node: FleetNode = {
@@ -139,7 +139,7 @@
 				clock,
 				headerNames,
 				reporter,
-				tellAll(message) {
+				broadcast(message) {
 					for (const to of reach(node)) {
 						deliver(to, message);
 					}
@@ -151,7 +151,7 @@
 		nodes.set(member.node, node);
 		void register.run(life.signal);
 		for (const to of reach(node)) {
-			for (const message of to.suspects.greeting()) {
+			for (const message of to.suspects.initialMessages()) {
 				deliver(node, message);
 			}
 		}
--- a/packages/mesh/src/entry.ts
+++ b/packages/mesh/src/entry.ts
@@ -79,7 +79,7 @@
 
 	const onAdmitted = () => {
 		if (workspace) {
-			options.quotas.noteAdmitted(workspace);
+			options.quotas.recordAdmitted(workspace);
 		}
 	};
 
@@ -114,7 +114,7 @@
 	}
 
 	if (!quotas.allows(workspace)) {
-		const back = quotas.returnTime(workspace);
+		const back = quotas.retryAfterTime(workspace);
 		return refuse(route.name, 429, 'quotaExceeded', back);
 	}
 
--- a/packages/mesh/src/gatekeeper.ts
+++ b/packages/mesh/src/gatekeeper.ts
@@ -307,7 +307,7 @@
 		offers.noteOffer(outcome, now);
 		if (outcome.kind === 'answered') {
 			access.noteAnswer();
-			suspects.noteAnswer(request);
+			suspects.recordAnswer(request);
 		}
 	};
 
--- a/packages/mesh/src/member-register.ts
+++ b/packages/mesh/src/member-register.ts
@@ -45,7 +45,7 @@
 	 * Keeps the leaving of the target beside this node beyond the life of this
 	 * process. Resolves when it is stored, or when the time is over.
 	 */
-	keepLeaving(record: TargetRecord): Promise<void>;
+	persistLeaving(record: TargetRecord): Promise<void>;
 };
 
 const table = 'members';
@@ -151,7 +151,7 @@
 				await sleep(clock, time * (0.5 + random.fraction()), signal);
 			}
 		},
-		async keepLeaving(record) {
+		async persistLeaving(record) {
 			leaving = record;
 			await Promise.race([write(), sleep(clock, keepTime)]);
 		},
--- a/packages/mesh/src/mesh-node.ts
+++ b/packages/mesh/src/mesh-node.ts
@@ -155,7 +155,7 @@
 		clock,
 		headerNames,
 		reporter,
-		tellAll(message) {
+		broadcast(message) {
 			directory.tellAll(message);
 			peerListener.tellAll(message);
 		},
@@ -205,12 +205,12 @@
 		onMembers(members) {
 			directory.addMembers(members, 'peer');
 		},
-		onSuspects: suspects.take,
+		onSuspects: suspects.receive,
 		onQuotaUse(message, reply) {
-			quotas.takeUse(message, reply);
+			quotas.receiveUse(message, reply);
 		},
 		onQuotaGrant(message) {
-			quotas.takeGrant(message);
+			quotas.receiveGrant(message);
 		},
 	});
 	const quotas = createQuotaExchange({
@@ -232,7 +232,7 @@
 		random: random.fork(),
 		ticker,
 		self,
-		hello: () => [ownNews.hello(), ...suspects.greeting()],
+		hello: () => [ownNews.hello(), ...suspects.initialMessages()],
 		onMessage: receive,
 		onMalformed,
 		onProfiles(peer, {service, profiles}) {
@@ -257,7 +257,7 @@
 			ownNews.hello(),
 			ownNews.state(),
 			ownNews.profiles(),
-			...suspects.greeting(),
+			...suspects.initialMessages(),
 		],
 		onMessage: receive,
 		onMalformed,
@@ -276,7 +276,7 @@
 		random: random.fork(),
 		reporter,
 		isFollower: () => isFeedFollower(self.node, directory.feedPeers()),
-		onSuspects: suspects.takeStored,
+		onSuspects: suspects.applyStored,
 	});
 	const pressure = createRoutePressure({
 		clock,
@@ -361,7 +361,7 @@
 		clock,
 		gatekeeper,
 		reporter,
-		keepLeaving: async (record) => register.keepLeaving(record),
+		keepLeaving: async (record) => register.persistLeaving(record),
 		onChange: tellState,
 	});
 
--- a/packages/mesh/src/quota-exchange.ts
+++ b/packages/mesh/src/quota-exchange.ts
@@ -53,16 +53,16 @@
 	/** Whether the quota allows one more request of the workspace. */
 	allows(workspace: Workspace): boolean;
 	/** A request that was allowed goes to a target. */
-	noteAdmitted(workspace: Workspace): void;
+	recordAdmitted(workspace: Workspace): void;
 	/** Milliseconds until the workspace will probably have room. */
-	returnTime(workspace: Workspace): number;
+	retryAfterTime(workspace: Workspace): number;
 	/** Members that the exchange needs links to. */
 	pinned(): Iterable<string>;
-	takeUse(
+	receiveUse(
 		message: QuotaUseMessage,
 		reply: (message: PeerMessage) => void,
 	): void;
-	takeGrant(message: QuotaGrantMessage): void;
+	receiveGrant(message: QuotaGrantMessage): void;
 	start(ticker: Ticker): void;
 };
 
@@ -210,10 +210,10 @@
 
 	return {
 		allows: (workspace) => share.allows(toQuota(workspace), clock.now()),
-		noteAdmitted(workspace) {
+		recordAdmitted(workspace) {
 			share.noteAdmitted(toQuota(workspace));
 		},
-		returnTime: (workspace) => share.returnTime(toQuota(workspace)),
+		retryAfterTime: (workspace) => share.returnTime(toQuota(workspace)),
 		pinned() {
 			if (!options.workspaces().some(({rate}) => rate > 0)) {
 				return [];
@@ -230,7 +230,7 @@
 
 			return pinned;
 		},
-		takeUse({node, dataCentre, wantsGrant, uses}, reply) {
+		receiveUse({node, dataCentre, wantsGrant, uses}, reply) {
 			const now = clock.now();
 			allotment.report(
 				dataCentre === undefined
@@ -256,7 +256,7 @@
 				});
 			}
 		},
-		takeGrant({grants}) {
+		receiveGrant({grants}) {
 			share.grant(
 				grants.map(([workspace, asked, part]) => ({
 					workspace,
--- a/packages/mesh/src/suspect-register.ts
+++ b/packages/mesh/src/suspect-register.ts
@@ -34,7 +34,7 @@
 /** The register. */
 export type SuspectRegister = {
 	/** Keeps suspects beyond the life of this process. */
-	note(suspects: readonly Suspect[]): void;
+	record(suspects: readonly Suspect[]): void;
 	/** Writes what was noted, and follows what others note, until the signal aborts. */
 	run(signal: AbortSignal): Promise<void>;
 };
@@ -89,7 +89,7 @@
 	const writer = createRowWriter({clock, random, write: writeOnce});
 
 	return {
-		note(suspects) {
+		record(suspects) {
 			noted.note(suspects);
 			writer.request();
 		},
--- a/packages/mesh/src/suspects.ts
+++ b/packages/mesh/src/suspects.ts
@@ -24,7 +24,7 @@
 	headerNames: Pick<HeaderNames, 'workspace'>;
 	reporter: MeshReporter;
 	/** Tells every linked node. */
-	tellAll: (message: PeerMessage) => void;
+	broadcast: (message: PeerMessage) => void;
 	gossip: () => Pick<Gossip<Suspect>, 'add'>;
 	register: () => Pick<SuspectRegister, 'note'>;
 };
@@ -37,13 +37,13 @@
 	/** What is known of the request; undefined when no target crashed under it. */
 	lookUp(request: KnownRequest): Suspect | undefined;
 	/** The target beside this node answered the request. */
-	noteAnswer(request: KnownRequest): void;
+	recordAnswer(request: KnownRequest): void;
 	/** Takes what a peer told. */
-	take(message: SuspectsMessage): void;
+	receive(message: SuspectsMessage): void;
 	/** Takes what lies in the store. */
-	takeStored(suspects: Suspect[]): void;
+	applyStored(suspects: Suspect[]): void;
 	/** What a newly linked node has to know; nothing when there is nothing. */
-	greeting(): SuspectsMessage[];
+	initialMessages(): SuspectsMessage[];
 	start(ticker: Ticker): void;
 };
 
@@ -53,7 +53,7 @@
 	const quarantine = createQuarantine({
 		clock: options.clock,
 		spread(suspects) {
-			options.tellAll(toMessage(suspects));
+			options.broadcast(toMessage(suspects));
 		},
 		passOn(suspects) {
 			for (const suspect of suspects) {
@@ -61,7 +61,7 @@
 			}
 		},
 		keep(suspects) {
-			options.register().note(suspects);
+			options.register().record(suspects);
 		},
 		onQuarantined({identity, crashes}) {
 			reporter.notice('requestQuarantined', {identity, crashes});
@@ -74,16 +74,16 @@
 			quarantine.lookUp(request.path, request.body?.byteLength ?? 0, () =>
 				partsOf(request, headerNames),
 			),
-		noteAnswer(request) {
+		recordAnswer(request) {
 			quarantine.noteAnswer(request.path, request.body?.byteLength ?? 0, () =>
 				partsOf(request, headerNames),
 			);
 		},
-		take({suspects}) {
+		receive({suspects}) {
 			quarantine.take(suspects.map((tuple) => toSuspect(tuple)));
 		},
-		takeStored: quarantine.take,
-		greeting() {
+		applyStored: quarantine.take,
+		initialMessages() {
 			const suspects = quarantine.list();
 			return suspects.length === 0 ? [] : [toMessage(suspects)];
 		},
