--- a/packages/mesh/__tests__/desired-links.spec.ts
+++ b/packages/mesh/__tests__/desired-links.spec.ts
@@ -21,7 +21,7 @@
 		isUsable,
 		isSilent: () => false,
 		outstanding: () => 0,
-		tell: () => undefined,
+		sendMessage: () => undefined,
 		retryNow: () => undefined,
 		probe: () => undefined,
 		close: () => undefined,
--- a/packages/mesh/__tests__/member-gossip.spec.ts
+++ b/packages/mesh/__tests__/member-gossip.spec.ts
@@ -24,7 +24,7 @@
 		isUsable: () => true,
 		isSilent: () => false,
 		outstanding: () => 0,
-		tell,
+		sendMessage: tell,
 		retryNow: () => undefined,
 		probe: () => undefined,
 		close: () => undefined,
--- a/packages/mesh/__tests__/suspect-fleet.ts
+++ b/packages/mesh/__tests__/suspect-fleet.ts
@@ -94,7 +94,7 @@
 		isSilent: () => false,
 		outstanding: () => 0,
 		send: () => () => undefined,
-		tell(message) {
+		sendMessage(message) {
 			deliver(to, message);
 		},
 		retryNow: () => undefined,
--- a/packages/mesh/src/desired-links.ts
+++ b/packages/mesh/src/desired-links.ts
@@ -13,7 +13,7 @@
 import type {KnownMembers} from './known-members.js';
 import {
 	estimateOccupancy,
-	isExpectedToWork,
+	isExpectedToServe,
 	usableTarget,
 	type Peer,
 } from './peer.js';
@@ -164,7 +164,7 @@
 					sizeOf(service, now),
 					({node}) => {
 						const peer = peers.get(node);
-						return !peer || isExpectedToWork(peer, service, now);
+						return !peer || isExpectedToServe(peer, service, now);
 					},
 				);
 				for (const {node} of chosen) {
--- a/packages/mesh/src/directory.ts
+++ b/packages/mesh/src/directory.ts
@@ -11,7 +11,7 @@
 import {createMemberGossip} from './member-gossip.js';
 import {
 	createPeerCandidate,
-	takeLoad,
+	applyLoad,
 	usableTarget,
 	type Peer,
 	type TargetCandidate,
@@ -137,10 +137,10 @@
 		state(peer, message) {
 			peer.state = message;
 			options.onState(message);
-			takeLoad(peer, message.load);
+			applyLoad(peer, message.load);
 		},
 		load(peer, {load}) {
-			takeLoad(peer, load);
+			applyLoad(peer, load);
 		},
 		hello(peer, message) {
 			if (checkIdentity(peer, message.member)) {
@@ -151,7 +151,7 @@
 
 	const receiveNews = (peer: Peer, message: PeerMessage) => {
 		options.onMessage(message, (reply) => {
-			peer.link.tell(reply);
+			peer.link.sendMessage(reply);
 		});
 	};
 
@@ -194,7 +194,7 @@
 			}
 		}
 
-		links.keep(wanted);
+		links.closeUndesired(wanted);
 	};
 
 	ticker.schedule(subsetPeriod, refresh);
@@ -246,13 +246,13 @@
 		members: known.all,
 		isLinked: (node) => peers.get(node)?.link.isUsable() ?? false,
 		tell(node, message) {
-			peers.get(node)?.link.tell(message);
+			peers.get(node)?.link.sendMessage(message);
 		},
-		tellOne: links.tellOne,
+		tellOne: links.sendToRandom,
 		size: () => known.size() + 1,
 		connected: () => links.usable().length,
 		linked: links.usable,
-		tellAll: links.tellAll,
+		tellAll: links.broadcast,
 		close() {
 			news.close();
 			links.close();
--- a/packages/mesh/src/gossip.ts
+++ b/packages/mesh/src/gossip.ts
@@ -59,7 +59,7 @@
 			...draw(near, nearReceivers),
 			...draw(far, farReceivers),
 		]) {
-			link.tell(message);
+			link.sendMessage(message);
 		}
 	};
 
--- a/packages/mesh/src/local-candidate.ts
+++ b/packages/mesh/src/local-candidate.ts
@@ -20,6 +20,6 @@
 		runTime: load.runTime,
 		isDoubtful,
 		channel: gatekeeper,
-		note: () => undefined,
+		recordOutcome: () => undefined,
 	};
 }
--- a/packages/mesh/src/mesh-node.ts
+++ b/packages/mesh/src/mesh-node.ts
@@ -148,7 +148,7 @@
 	};
 
 	const tellState = () => {
-		peerListener.tellAll(ownNews.state());
+		peerListener.broadcast(ownNews.state());
 	};
 
 	const suspects = createSuspects({
@@ -157,7 +157,7 @@
 		reporter,
 		broadcast(message) {
 			directory.tellAll(message);
-			peerListener.tellAll(message);
+			peerListener.broadcast(message);
 		},
 		gossip: () => suspectNews,
 		register: () => suspectRegister,
@@ -252,8 +252,8 @@
 	});
 	const peerListener = createPeerListener({
 		clock,
-		gatekeeper,
-		greet: () => [
+		dispatcher: gatekeeper,
+		initialMessages: () => [
 			ownNews.hello(),
 			ownNews.state(),
 			ownNews.profiles(),
@@ -302,7 +302,7 @@
 			graph.take(self.node, settings.service, profile.profiles());
 		},
 		tell() {
-			peerListener.tellAll(ownNews.profiles());
+			peerListener.broadcast(ownNews.profiles());
 		},
 	});
 	const newRoutes = createThrottledUpdates({
@@ -369,9 +369,9 @@
 		clock,
 		signal: life.signal,
 		load: () => gatekeeper.load(),
-		listeners: () => peerListener.links(),
+		listeners: () => peerListener.linkCount(),
 		report(load) {
-			peerListener.tellAll({kind: 'load', load});
+			peerListener.broadcast({kind: 'load', load});
 		},
 	});
 
--- a/packages/mesh/src/peer-link.ts
+++ b/packages/mesh/src/peer-link.ts
@@ -45,7 +45,7 @@
 	isSilent(): boolean;
 	/** Requests without an outcome. */
 	outstanding(): number;
-	tell(message: PeerMessage): void;
+	sendMessage(message: PeerMessage): void;
 	/** Asks the other end if it has been silent, and gives up on it after too long; to be called in each period. */
 	probe(): void;
 	/** Tries to connect now instead of after the pause. */
@@ -234,7 +234,7 @@
 		isUsable: () => current !== undefined,
 		isSilent: () => askedAt !== undefined && clock.now() - askedAt > lateAnswer,
 		outstanding: () => exchanges.size,
-		tell(message) {
+		sendMessage(message) {
 			current?.send(message);
 		},
 		retryNow: connect,
--- a/packages/mesh/src/peer-links.ts
+++ b/packages/mesh/src/peer-links.ts
@@ -26,12 +26,12 @@
 	/** Closes the link to a node for good. */
 	drop(peer: Peer): void;
 	/** Closes links to others than the wanted nodes, once they have been idle and unwanted for a while. */
-	keep(wanted: ReadonlySet<string>): void;
+	closeUndesired(wanted: ReadonlySet<string>): void;
 	/** Asks those that have been silent; to be called in each period. */
 	probe(): void;
-	tellAll(message: PeerMessage): void;
+	broadcast(message: PeerMessage): void;
 	/** Tells one linked node, drawn at random. */
-	tellOne(message: PeerMessage): void;
+	sendToRandom(message: PeerMessage): void;
 	close(): void;
 };
 
@@ -86,7 +86,7 @@
 			peers.set(member.node, peer);
 		},
 		drop,
-		keep(wanted) {
+		closeUndesired(wanted) {
 			const now = clock.now();
 			for (const [node, peer] of peers) {
 				if (wanted.has(node)) {
@@ -106,15 +106,15 @@
 				link.probe();
 			}
 		},
-		tellAll(message) {
+		broadcast(message) {
 			for (const {link} of peers.values()) {
-				link.tell(message);
+				link.sendMessage(message);
 			}
 		},
-		tellOne(message) {
+		sendToRandom(message) {
 			const known = usable();
 			if (known.length > 0) {
-				known[random.below(known.length)]!.link.tell(message);
+				known[random.below(known.length)]!.link.sendMessage(message);
 			}
 		},
 		close() {
--- a/packages/mesh/src/peer-listener.ts
+++ b/packages/mesh/src/peer-listener.ts
@@ -14,9 +14,9 @@
 /** What the listener needs. */
 export type PeerListenerOptions = {
 	clock: Clock;
-	gatekeeper: TargetChannel;
+	dispatcher: TargetChannel;
 	/** What to answer to a hello. */
-	greet: () => PeerMessage[];
+	initialMessages: () => PeerMessage[];
 	/** Messages that aren't about a request. */
 	onMessage: (
 		message: PeerMessage,
@@ -30,9 +30,9 @@
 	/** Listens on `ip:port`; gives the address that it got. */
 	listen(address: string): Promise<string>;
 	/** Tells every node that has a link to this one. */
-	tellAll(message: PeerMessage): void;
+	broadcast(message: PeerMessage): void;
 	/** How many nodes have a link to this one. */
-	links(): number;
+	linkCount(): number;
 	close(): void;
 };
 
@@ -74,7 +74,7 @@
 		{exchange, request}: Extract<PeerMessage, {kind: 'request'}>,
 	) => {
 		let isOver = false;
-		const cancel = options.gatekeeper.send(request, (outcome, load) => {
+		const cancel = options.dispatcher.send(request, (outcome, load) => {
 			isOver = true;
 			running.delete(exchange);
 			channel.send({kind: 'outcome', exchange, outcome, load});
@@ -85,7 +85,7 @@
 	};
 
 	const greet = (channel: PeerChannel) => {
-		for (const greeting of options.greet()) {
+		for (const greeting of options.initialMessages()) {
 			channel.send(greeting);
 		}
 	};
@@ -124,12 +124,12 @@
 
 	return {
 		listen: async (address) => listenOn(server, address),
-		tellAll(message) {
+		broadcast(message) {
 			for (const channel of channels) {
 				channel.send(message);
 			}
 		},
-		links: () => channels.size,
+		linkCount: () => channels.size,
 		close() {
 			for (const channel of channels) {
 				channel.close();
--- a/packages/mesh/src/peer.ts
+++ b/packages/mesh/src/peer.ts
@@ -28,7 +28,7 @@
 export type TargetCandidate = Candidate & {
 	channel: TargetChannel;
 	/** Takes note of how an attempt ended. */
-	note(outcomeKind: 'answered' | 'failed', load: TargetLoad | undefined): void;
+	recordOutcome(outcomeKind: 'answered' | 'failed', load: TargetLoad | undefined): void;
 };
 
 /** Failures in a row after which a target is chosen only when there is no other. */
@@ -71,7 +71,7 @@
 }
 
 /** Whether the peer counts as one that takes work of the service: it does, or is given time to. */
-export function isExpectedToWork(
+export function isExpectedToServe(
 	peer: Peer,
 	service: string,
 	now: number,
@@ -99,7 +99,7 @@
 }
 
 /** Takes a report of the target's load. */
-export function takeLoad(peer: Peer, load: TargetLoad | undefined): void {
+export function applyLoad(peer: Peer, load: TargetLoad | undefined): void {
 	if (load) {
 		peer.load = load;
 		peer.outstandingAtReport = peer.link.outstanding();
@@ -126,8 +126,8 @@
 		channel: peer.link,
 		failureShare: peer.load.failureShare,
 		runTime: peer.load.runTime,
-		note(kind, load) {
-			takeLoad(peer, load);
+		recordOutcome(kind, load) {
+			applyLoad(peer, load);
 			if (kind === 'answered') {
 				peer.failures = 0;
 			} else if (++peer.failures >= doubtAfter) {
