--- a/packages/mesh/__tests__/configuration-follower.spec.ts
+++ b/packages/mesh/__tests__/configuration-follower.spec.ts
@@ -34,11 +34,11 @@
 		random: createRandom(1),
 		startDelay,
 		isFollower,
-		onFollowing() {
+		onFollowingChange() {
 			told.push(follower.isFollowing());
 		},
 		reporter: {notice: () => undefined, decision: () => undefined},
-		onTaken({version}) {
+		onApplied({version}) {
 			taken.push(version);
 		},
 	});
--- a/packages/mesh/src/configuration-follower.ts
+++ b/packages/mesh/src/configuration-follower.ts
@@ -32,10 +32,10 @@
 	/** Whether this node is to follow the feed, or leaves it to peers. */
 	isFollower: () => boolean;
 	/** The node has begun or ceased to follow. */
-	onFollowing: () => void;
+	onFollowingChange: () => void;
 	reporter: MeshReporter;
 	/** A newer version is in force. */
-	onTaken: (configuration: RoutingConfiguration) => void;
+	onApplied: (configuration: RoutingConfiguration) => void;
 };
 
 /** The follower. */
@@ -50,7 +50,7 @@
 };
 
 /** Milliseconds between two looks at whether this node is to follow. */
-export const turnPeriod = 1000;
+export const followerCheckInterval = 1000;
 
 /** Creates a follower that knows no configuration. */
 export function createConfigurationFollower(
@@ -76,7 +76,7 @@
 			version: configuration.version,
 			source,
 		});
-		options.onTaken(configuration);
+		options.onApplied(configuration);
 		onFirst();
 	};
 
@@ -122,7 +122,7 @@
 	const tellFollowing = () => {
 		if (isFollowing() !== wasFollowing) {
 			wasFollowing = isFollowing();
-			options.onFollowing();
+			options.onFollowingChange();
 		}
 	};
 
@@ -131,7 +131,7 @@
 			hasTurn = false;
 			tellFollowing();
 			// eslint-disable-next-line no-await-in-loop -- one look a period.
-			await sleep(clock, turnPeriod, signal);
+			await sleep(clock, followerCheckInterval, signal);
 		}
 
 		hasTurn = !signal.aborted;
@@ -152,9 +152,9 @@
 					table: row.table,
 					clock,
 					random,
-					waitForTurn,
+					waitUntilFollower: waitForTurn,
 					onRows: takeRows,
-					onCalled(failure) {
+					onResult(failure) {
 						noteStore(failure);
 						tellFollowing();
 					},
--- a/packages/mesh/src/mesh-node.ts
+++ b/packages/mesh/src/mesh-node.ts
@@ -186,10 +186,10 @@
 		startDelay: feedStartDelay(self.node),
 		isFollower: () => isFeedFollower(self.node, directory.feedPeers()),
 		reporter,
-		onFollowing() {
+		onFollowingChange() {
 			tellState();
 		},
-		onTaken(configuration) {
+		onApplied(configuration) {
 			routes = createRouteTable(configuration);
 			callerListener.applyLimits(configuration.limits);
 			directory.tellAll({kind: 'version', version: configuration.version});
--- a/packages/mesh/src/suspect-register.ts
+++ b/packages/mesh/src/suspect-register.ts
@@ -12,7 +12,7 @@
 	type Suspect,
 } from '@egretspoke/quarantine';
 import {sleep, type Clock, type Random} from '@egretspoke/shared';
-import {turnPeriod} from './configuration-follower.js';
+import {followerCheckInterval} from './configuration-follower.js';
 import type {MeshReporter} from './mesh-reporter.js';
 import type {RowStore, StoredRow} from './row-store.js';
 import {followTable} from './table-feed.js';
@@ -82,7 +82,7 @@
 	const waitForTurn = async (signal: AbortSignal) => {
 		while (!signal.aborted && !options.isFollower()) {
 			// eslint-disable-next-line no-await-in-loop -- one look a period.
-			await sleep(clock, turnPeriod, signal);
+			await sleep(clock, followerCheckInterval, signal);
 		}
 	};
 
@@ -102,13 +102,13 @@
 					table,
 					clock,
 					random,
-					waitForTurn,
+					waitUntilFollower: waitForTurn,
 					onRows(rows) {
 						const present = rows.filter(({isRemoved}) => !isRemoved);
 						options.onSuspects(present.flatMap((row) => decode(row)));
 					},
 					// The follower of configurations tells of a lost store.
-					onCalled: () => undefined,
+					onResult: () => undefined,
 				},
 				signal,
 			);
--- a/packages/mesh/src/table-feed.ts
+++ b/packages/mesh/src/table-feed.ts
@@ -9,10 +9,10 @@
 	clock: Clock;
 	random: Random;
 	/** Resolves when this node is to make the next call. */
-	waitForTurn: (signal: AbortSignal) => Promise<void>;
+	waitUntilFollower: (signal: AbortSignal) => Promise<void>;
 	onRows: (rows: StoredRow[]) => void;
 	/** A call has ended; before its rows are told. */
-	onCalled: (failure: StoreFailure | undefined) => void;
+	onResult: (failure: StoreFailure | undefined) => void;
 };
 
 /**
@@ -36,7 +36,7 @@
 	let pause = firstPause;
 	for (;;) {
 		// eslint-disable-next-line no-await-in-loop -- calls only while it is this node's turn.
-		await options.waitForTurn(signal);
+		await options.waitUntilFollower(signal);
 		if (signal.aborted) {
 			return;
 		}
@@ -47,7 +47,7 @@
 		const result = await (position === undefined
 			? store.read(table)
 			: store.changes(table, position, wait));
-		options.onCalled(result.isErr() ? result.error : undefined);
+		options.onResult(result.isErr() ? result.error : undefined);
 		if (result.isOk()) {
 			position = result.value.version;
 			pause = firstPause;
--- a/packages/mesh/src/ticker.ts
+++ b/packages/mesh/src/ticker.ts
@@ -14,7 +14,7 @@
 };
 
 /** Milliseconds between two wake-ups. */
-export const tickTime = 200;
+export const tickInterval = 200;
 
 type Task = {periodTicks: number; act: () => void};
 
@@ -35,13 +35,13 @@
 			}
 		}
 
-		clock.setTimer(tickTime, run);
+		clock.setTimer(tickInterval, run);
 	};
 
-	clock.setTimer(tickTime, run);
+	clock.setTimer(tickInterval, run);
 	return {
 		schedule(period, act) {
-			tasks.push({periodTicks: Math.max(1, Math.ceil(period / tickTime)), act});
+			tasks.push({periodTicks: Math.max(1, Math.ceil(period / tickInterval)), act});
 		},
 	};
 }
