--- a/packages/mesh/src/directory.ts
+++ b/packages/mesh/src/directory.ts
@@ -22,7 +22,7 @@
 	ProfilesMessage,
 	StateMessage,
 } from './peer-message.js';
-import {probePeriod} from './peer-link.js';
+import {probeInterval} from './peer-link.js';
 import {createPeerLinks} from './peer-links.js';
 import type {Ticker} from './ticker.js';
 import {createDesiredLinks} from './desired-links.js';
@@ -198,7 +198,7 @@
 	};
 
 	ticker.schedule(subsetPeriod, refresh);
-	ticker.schedule(probePeriod, links.probe);
+	ticker.schedule(probeInterval, links.probe);
 	return {
 		addMembers,
 		noteHello(member) {
--- a/packages/mesh/src/peer-link.ts
+++ b/packages/mesh/src/peer-link.ts
@@ -54,7 +54,7 @@
 };
 
 /** Milliseconds between two calls of `probe`; a link with requests that was silent for half of it is asked. */
-export const probePeriod = 200;
+export const probeInterval = 200;
 /**
  * Milliseconds that a link without requests may be silent before it is asked:
  * most links lead to other data centres, where every byte is paid for.
@@ -194,7 +194,7 @@
 			return;
 		}
 
-		const mostSilence = exchanges.size > 0 ? probePeriod / 2 : idleSilence;
+		const mostSilence = exchanges.size > 0 ? probeInterval / 2 : idleSilence;
 		if (askedAt === undefined && now - lastHeard >= mostSilence) {
 			askedAt = now;
 			channel.send({kind: 'ping'});
--- a/packages/mesh/src/peer-links.ts
+++ b/packages/mesh/src/peer-links.ts
@@ -90,13 +90,13 @@
 			const now = clock.now();
 			for (const [node, peer] of peers) {
 				if (wanted.has(node)) {
-					peer.unwantedSince = undefined;
+					peer.undesiredSince = undefined;
 					continue;
 				}
 
-				peer.unwantedSince ??= now;
+				peer.undesiredSince ??= now;
 				const isIdle = peer.link.outstanding() === 0;
-				if (isIdle && now - peer.unwantedSince >= unwantedTime) {
+				if (isIdle && now - peer.undesiredSince >= unwantedTime) {
 					drop(peer);
 				}
 			}
--- a/packages/mesh/src/peer.ts
+++ b/packages/mesh/src/peer.ts
@@ -14,7 +14,7 @@
 	/** The instant since which the link can't be used; undefined while it can. */
 	downSince: number | undefined;
 	/** The instant since which no subset wants the link; undefined while one does. */
-	unwantedSince: number | undefined;
+	undesiredSince: number | undefined;
 	state: StateMessage | undefined;
 	load: TargetLoad;
 	/** This node's requests without an outcome when the load was reported. */
@@ -47,7 +47,7 @@
 		link,
 		linkedAt: now,
 		downSince: now,
-		unwantedSince: undefined,
+		undesiredSince: undefined,
 		state: undefined,
 		load: idleLoad,
 		outstandingAtReport: 0,
