--- a/packages/mesh/src/entry.ts
+++ b/packages/mesh/src/entry.ts
@@ -14,7 +14,7 @@
 /** What an entry needs. */
 export type EntryOptions = PassageOptions & {
 	routes: () => RouteTable | undefined;
-	quotas: Pick<QuotaExchange, 'allows' | 'noteAdmitted' | 'returnTime'>;
+	quotas: Pick<QuotaExchange, 'allows' | 'recordAdmitted' | 'retryAfterTime'>;
 	headerNames: Pick<HeaderNames, 'workspace'>;
 };
 
--- a/packages/mesh/src/local-state.ts
+++ b/packages/mesh/src/local-state.ts
@@ -30,7 +30,9 @@
 };
 
 /** Creates the news of a node. */
-export function createLocalStateMessages(options: LocalStateMessagesOptions): LocalStateMessages {
+export function createLocalStateMessages(
+	options: LocalStateMessagesOptions,
+): LocalStateMessages {
 	const {self, follower, belief, gatekeeper, innerRoutes, profile} = options;
 	return {
 		hello: () => ({
--- a/packages/mesh/src/passage.ts
+++ b/packages/mesh/src/passage.ts
@@ -240,7 +240,10 @@
 			createHanded(timeLeft, knownCrashes),
 			(outcome, load) => {
 				isEnded = true;
-				target.recordOutcome(outcome.kind === 'answered' ? 'answered' : 'failed', load);
+				target.recordOutcome(
+					outcome.kind === 'answered' ? 'answered' : 'failed',
+					load,
+				);
 				if (!isOver) {
 					handlers[outcome.kind](outcome as never, target.node);
 				}
--- a/packages/mesh/src/peer-updates.ts
+++ b/packages/mesh/src/peer-updates.ts
@@ -34,7 +34,9 @@
 const answerTime = 300;
 
 /** Creates the handler. */
-export function createUpdateHandler(options: UpdateHandlerOptions): UpdateHandler {
+export function createUpdateHandler(
+	options: UpdateHandlerOptions,
+): UpdateHandler {
 	const {clock, follower} = options;
 	/** Nodes that have a newer configuration, in the order in which they told so. */
 	let providers: Array<{version: number; ask: () => void}> = [];
--- a/packages/mesh/src/peer.ts
+++ b/packages/mesh/src/peer.ts
@@ -28,7 +28,10 @@
 export type TargetCandidate = Candidate & {
 	channel: TargetChannel;
 	/** Takes note of how an attempt ended. */
-	recordOutcome(outcomeKind: 'answered' | 'failed', load: TargetLoad | undefined): void;
+	recordOutcome(
+		outcomeKind: 'answered' | 'failed',
+		load: TargetLoad | undefined,
+	): void;
 };
 
 /** Failures in a row after which a target is chosen only when there is no other. */
--- a/packages/mesh/src/suspects.ts
+++ b/packages/mesh/src/suspects.ts
@@ -26,7 +26,7 @@
 	/** Tells every linked node. */
 	broadcast: (message: PeerMessage) => void;
 	gossip: () => Pick<Gossip<Suspect>, 'add'>;
-	register: () => Pick<SuspectRegister, 'note'>;
+	register: () => Pick<SuspectRegister, 'record'>;
 };
 
 /** The parts of a request by which it is known. */
--- a/packages/mesh/src/throttled-updates.ts
+++ b/packages/mesh/src/throttled-updates.ts
@@ -19,7 +19,9 @@
 };
 
 /** Creates news of which nothing was told. */
-export function createThrottledUpdates(options: ThrottledUpdatesOptions): ThrottledUpdates {
+export function createThrottledUpdates(
+	options: ThrottledUpdatesOptions,
+): ThrottledUpdates {
 	const {clock, maxInterval: longestPause, send: tell} = options;
 	let pause = options.initialInterval;
 	let hasChanged = false;
--- a/packages/mesh/src/ticker.ts
+++ b/packages/mesh/src/ticker.ts
@@ -41,7 +41,10 @@
 	clock.setTimer(tickInterval, run);
 	return {
 		schedule(period, act) {
-			tasks.push({periodTicks: Math.max(1, Math.ceil(period / tickInterval)), act});
+			tasks.push({
+				periodTicks: Math.max(1, Math.ceil(period / tickInterval)),
+				act,
+			});
 		},
 	};
 }
