--- a/packages/mesh/__tests__/configuration-follower.spec.ts
+++ b/packages/mesh/__tests__/configuration-follower.spec.ts
@@ -23,9 +23,9 @@
 	const clock = createVirtualClock();
 	const store = createRowStoreStandIn(async (wait) => sleep(clock, wait));
 	await store.write({...row, value: '1'}, 0);
-	const life = new AbortController();
-	const taken: number[] = [];
-	const told: boolean[] = [];
+	const lifetime = new AbortController();
+	const applied: number[] = [];
+	const followingChanges: boolean[] = [];
 	const follower = createConfigurationFollower({
 		store,
 		row,
@@ -35,72 +35,72 @@
 		startDelay,
 		isFollower,
 		onFollowingChange() {
-			told.push(follower.isFollowing());
+			followingChanges.push(follower.isFollowing());
 		},
 		reporter: {notice: () => undefined, decision: () => undefined},
 		onApplied({version}) {
-			taken.push(version);
+			applied.push(version);
 		},
 	});
-	const running = follower.run(life.signal);
+	const running = follower.run(lifetime.signal);
 	return {
 		clock,
 		store,
 		follower,
-		taken,
-		told,
+		applied,
+		followingChanges,
 		async end() {
-			life.abort();
+			lifetime.abort();
 			await clock.runTo(clock.now() + 60_000);
 			await running;
 		},
 	};
 }
 
-describe('the follower of the configuration', () => {
-	it('reads it, follows its changes and says that it does', async () => {
+describe('the configuration follower', () => {
+	it('reads the configuration, follows its changes and reports that it does', async () => {
 		const node = await createNode(() => true);
 		await node.clock.runTo(1000);
 		await node.store.write({...row, value: '2'}, 1);
 		await node.clock.runTo(15_000);
-		expect(node.taken).to.deep.equal([1, 2]);
-		expect(node.told).to.deep.equal([true]);
+		expect(node.applied).to.deep.equal([1, 2]);
+		expect(node.followingChanges).to.deep.equal([true]);
 		await node.end();
 	});
 
-	describe('with enough peers that follow', () => {
-		it('never asks the store, and takes what peers bring', async () => {
+	describe('with enough peers that follow the feed', () => {
+		it('never calls the store and applies configurations of peers', async () => {
 			const node = await createNode(() => false);
 			node.follower.offer(configurationOf(1));
 			await node.clock.runTo(60_000);
 			const {read, changes} = node.store.calls;
 			expect({read, changes}).to.deep.equal({read: 0, changes: 0});
-			expect(node.taken).to.deep.equal([1]);
+			expect(node.applied).to.deep.equal([1]);
 			await node.end();
 		});
 
-		it('asks the store itself once they are lost', async () => {
-			// The followers that a node relies on are killed at the same moment. It
-			// must not go on with its configuration as if nothing could change.
+		it('follows the store itself once they are lost', async () => {
+			// Guards against a stale configuration: the followers that a node relies
+			// on are killed at the same moment, and no peer reports changes to it.
 			let isFollower = false;
 			const node = await createNode(() => isFollower);
 			node.follower.offer(configurationOf(0));
 			await node.clock.runTo(5000);
 			isFollower = true;
 			await node.clock.runTo(7000);
-			expect(node.taken).to.deep.equal([0, 1]);
+			expect(node.applied).to.deep.equal([0, 1]);
 			await node.end();
 		});
 	});
 
-	it('gives peers a moment to bring it after a start', async () => {
+	it('waits for a configuration from peers after a start', async () => {
 		const node = await createNode(() => true);
 		await node.clock.runTo(startDelay / 2);
 		expect(node.store.calls.read).to.equal(0);
 		await node.end();
 	});
 
-	it('never takes an older version', async () => {
+	it('never applies an older version', async () => {
 		const node = await createNode(() => false);
 		node.follower.offer(configurationOf(5));
 		node.follower.offer(configurationOf(4));
--- a/packages/mesh/__tests__/desired-links.spec.ts
+++ b/packages/mesh/__tests__/desired-links.spec.ts
@@ -28,14 +28,14 @@
 	};
 }
 
-/** A node that links to all that it wants, in periods of half a second. */
+/** Creates a node that opens all desired links, at intervals of half a second. */
 function createNode() {
 	const clock = createVirtualClock();
 	const known = createKnownMembers('self');
 	const peers = new Map<string, Peer>();
 	const down = new Set<string>();
 	const pinned: string[] = [];
-	const wanted = createDesiredLinks({
+	const desired = createDesiredLinks({
 		clock,
 		self: {node: 'self', dataCentre: 'near'},
 		known,
@@ -75,7 +75,7 @@
 	};
 
 	return {
-		wanted,
+		desired,
 		peers,
 		down,
 		run(periods: number) {
@@ -88,7 +88,7 @@
 						: undefined;
 				}
 
-				names = wanted.choose();
+				names = desired.choose();
 				for (const name of names) {
 					if (!peers.has(name)) {
 						link(members.find(({node}) => node === name)!);
@@ -101,19 +101,19 @@
 	};
 }
 
-describe('the members that a node wants links to', () => {
-	it('are more once callers ask for the service', () => {
+describe('the desired links of a node', () => {
+	it('grow in number once callers request the service', () => {
 		const node = createNode();
 		const before = node.run(10).size;
-		expect(node.wanted.recordRequest('reads')).to.equal(true);
+		expect(node.desired.recordRequest('reads')).to.equal(true);
 		expect(node.run(10).size).to.be.above(before);
 	});
 
-	it('are more while all that are linked are full', () => {
-		// A few targets turn slow, and by chance a node's subset holds just those:
+	it('grow in number while all linked targets are full', () => {
+		// A few targets become slow, and by chance a node's subset holds only these:
 		// its callers would wait while other targets of the data centre have room.
 		const node = createNode();
-		node.wanted.recordRequest('reads');
+		node.desired.recordRequest('reads');
 		const before = node.run(10).size;
 		for (const peer of node.peers.values()) {
 			peer.load = {...idleLoad, occupancy: 1.2};
@@ -122,11 +122,11 @@
 		expect(node.run(2).size).to.be.above(before);
 	});
 
-	it('come in place of those that are gone, which are not tried for ever', () => {
-		// Machines are replaced over the months and their rows stay behind; a node
-		// would come to try nothing but machines that no longer exist.
+	it('replace unreachable members, which are not retried forever', () => {
+		// Machines are replaced over the months and their rows remain; eventually a
+		// node would try only machines that no longer exist.
 		const node = createNode();
-		node.wanted.recordRequest('reads');
+		node.desired.recordRequest('reads');
 		const first = node.run(10);
 		for (const name of first) {
 			node.down.add(name);
--- a/packages/mesh/__tests__/member-gossip.spec.ts
+++ b/packages/mesh/__tests__/member-gossip.spec.ts
@@ -31,8 +31,8 @@
 	};
 }
 
-/** A fleet in which every node knows and is linked to some; gives who has heard of a new member, and what was sent. */
-function spread(size: number) {
+/** Gossips a new member through a fleet with random links; returns how many nodes received it and how many messages were sent. */
+function spreadMember(size: number) {
 	const clock = createVirtualClock();
 	const random = createRandom(3);
 	const members = Array.from({length: size}, (_, index) => createMember(index));
@@ -40,7 +40,7 @@
 	let sent = 0;
 	const nodes = members.map((self) => {
 		const known = createKnownMembers(self.node);
-		const news = createMemberGossip({
+		const gossip = createMemberGossip({
 			clock,
 			random: random.fork(),
 			self,
@@ -49,7 +49,7 @@
 		const receive = (received: Member[]) => {
 			for (const member of received) {
 				if (known.add(member) === 'new') {
-					news.add(member);
+					gossip.add(member);
 				}
 			}
 		};
@@ -73,25 +73,25 @@
 	nodes[0]!.receive([joined]);
 	clock.advanceTo(2000);
 	return {
-		heard: nodes.filter(({known}) => known.get(joined.node)).length,
+		receivers: nodes.filter(({known}) => known.get(joined.node)).length,
 		sent,
 	};
 }
 
-describe('the news of a member that joins', () => {
+describe('gossip of a new member', () => {
 	for (const size of [30, 195, 570]) {
 		it(`reaches nearly all of ${size} nodes within two seconds, in a few messages each`, () => {
-			// Told to all by the joining node itself, each start costs as many
-			// handshakes as there are nodes, and a restart of all their square.
-			const {heard, sent} = spread(size);
-			expect(heard).to.be.at.least(size * 0.95);
+			// If the joining node notified all others itself, each start would cost as
+			// many handshakes as there are nodes, and a restart of all nodes their square.
+			const {receivers, sent} = spreadMember(size);
+			expect(receivers).to.be.at.least(size * 0.95);
 			expect(sent).to.be.at.most(size * 6);
 		});
 	}
 });
 
-describe('what is known of members', () => {
-	it('tells a new member from a known one, and a restart from a move', () => {
+describe('the known members', () => {
+	it('distinguish new from known members, and restarts from moves', () => {
 		const known = createKnownMembers('self');
 		expect(known.add(createMember(1))).to.equal('new');
 		expect(known.add(createMember(1))).to.equal('known');
@@ -101,7 +101,7 @@
 		).to.equal('new');
 	});
 
-	it('keeps the later start when news arrive out of order', () => {
+	it('keep the later start when updates arrive out of order', () => {
 		const known = createKnownMembers('self');
 		known.add(createMember(1, 2));
 		expect(
@@ -110,7 +110,7 @@
 		expect(known.get('node-1')?.address).to.equal('10.0.0.1:7620');
 	});
 
-	it('never lists the node itself', () => {
+	it('never include the node itself', () => {
 		const known = createKnownMembers('node-1');
 		known.add(createMember(1));
 		expect(known.size()).to.equal(0);
--- a/packages/mesh/__tests__/member-register.spec.ts
+++ b/packages/mesh/__tests__/member-register.spec.ts
@@ -30,7 +30,7 @@
 /** Starts a node's register and lets it write and read once. */
 async function start(store: RowStoreStandIn, member: Member) {
 	const clock = createVirtualClock();
-	const told: {members: Member[]; leavings: TargetRecord[]} = {
+	const received: {members: Member[]; leavings: TargetRecord[]} = {
 		members: [],
 		leavings: [],
 	};
@@ -41,20 +41,20 @@
 		random: createRandom(1),
 		reporter: {notice: () => undefined, decision: () => undefined},
 		onMembers(members) {
-			told.members = members;
+			received.members = members;
 		},
 		onEarlierLeaving(record) {
-			told.leavings.push(record);
+			received.leavings.push(record);
 		},
 	});
-	const life = new AbortController();
-	const running = register.run(life.signal);
+	const lifetime = new AbortController();
+	const running = register.run(lifetime.signal);
 	await clock.runTo(1000);
 	return {
 		register,
-		told,
+		received,
 		async end() {
-			life.abort();
+			lifetime.abort();
 			await clock.runTo(200_000);
 			await running;
 		},
@@ -67,19 +67,19 @@
 	await node.end();
 }
 
-describe('the register of members', () => {
-	it('writes the row and reads the others at a first start', async () => {
+describe('the member register', () => {
+	it('writes its row and reads the others at the first start', async () => {
 		const store = createRowStoreStandIn();
 		const node = await start(store, self);
-		expect(node.told.members).to.deep.equal([self]);
+		expect(node.received.members).to.deep.equal([self]);
 		expect(store.calls).to.deep.equal({read: 1, changes: 0, write: 1});
 		await node.end();
 	});
 
-	describe('when a node starts again', () => {
-		it('writes nothing where it was', async () => {
-			// All nodes of a fleet are stopped and started in turn. The rows say what
-			// they said before, and each further call is paid for.
+	describe('when a node restarts', () => {
+		it('leaves the row unchanged in the same place', async () => {
+			// Guards against needless writes in a rolling restart: the rows hold the
+			// same values as before, and each call of the store is billed.
 			const store = createRowStoreStandIn();
 			await startAndEnd(store);
 			const before = {...store.calls};
@@ -89,29 +89,29 @@
 			await node.end();
 		});
 
-		it('writes its row in another place', async () => {
+		it('writes its row after a move', async () => {
 			const store = createRowStoreStandIn();
 			await startAndEnd(store);
 			const moved = {...self, address: '10.0.0.9:7620', startedAt: 200};
 			const node = await start(store, moved);
-			expect(node.told.members).to.deep.equal([moved]);
+			expect(node.received.members).to.deep.equal([moved]);
 			await node.end();
 		});
 
-		it('is told of the leaving that it acknowledged before', async () => {
+		it('restores the leaving that it acknowledged before', async () => {
 			// The node is killed right after it acknowledged that its target leaves.
 			const store = createRowStoreStandIn();
 			const first = await start(store, self);
 			await first.register.persistLeaving(leaving);
 			await first.end();
 			const node = await start(store, {...self, startedAt: 200});
-			expect(node.told.leavings).to.deep.equal([leaving]);
+			expect(node.received.leavings).to.deep.equal([leaving]);
 			await node.end();
 		});
 
 		it('still stores the next leaving', async () => {
-			// The row was not written at the start; a leaving written under the
-			// version of an earlier start would be refused and forgotten.
+			// Guards against a lost leaving: the row was not written at the start, and a
+			// write with the version of an earlier start would be rejected.
 			const store = createRowStoreStandIn();
 			await startAndEnd(store);
 			const node = await start(store, {...self, startedAt: 200});
--- a/packages/mesh/__tests__/peer-link.spec.ts
+++ b/packages/mesh/__tests__/peer-link.spec.ts
@@ -6,7 +6,7 @@
 import {createPeerLink, type PeerLink} from '../src/peer-link.js';
 import {encodeFrame} from '../src/peer-message.js';
 
-describe('the link to a node that says nothing any more', () => {
+describe('the link to a node that has become silent', () => {
 	let server: WebSocketServer;
 	let link: PeerLink;
 
@@ -20,21 +20,21 @@
 		server.close();
 	});
 
-	it('is doubted a moment after a probe, and trusted again with the next message', async () => {
-		// A data centre is cut off. Nothing is reset, so the links into it look
-		// alive, and for as long as they are given to answer, every third call is
-		// sent into nowhere and lost, with other targets beside.
+	it('counts as silent when the answer to a probe is late, until the next message', async () => {
+		// A data centre is cut off without connection resets, so its links look
+		// usable. Until the answer timeout, every third call would be sent over them
+		// and lost, although other targets are available.
 		const clock = createVirtualClock();
 		const {port} = server.address() as AddressInfo;
 		const connected = once(server, 'connection') as Promise<[WebSocket]>;
-		let onHeard: () => void = () => undefined;
+		let onReceived: () => void = () => undefined;
 		await new Promise<void>((resolve) => {
 			link = createPeerLink({
 				address: `127.0.0.1:${port}`,
 				clock,
 				hello: () => [],
 				onMessage() {
-					onHeard();
+					onReceived();
 				},
 				onMalformed: () => undefined,
 				onChange() {
@@ -50,13 +50,13 @@
 		expect(link.isSilent()).to.equal(true);
 		expect(link.isUsable()).to.equal(true);
 
-		const heard = new Promise<void>((resolve) => {
-			onHeard = resolve;
+		const received = new Promise<void>((resolve) => {
+			onReceived = resolve;
 		});
 		peer.send(
 			encodeFrame({sentAt: 0, messages: [{kind: 'version', version: 1}]}),
 		);
-		await heard;
+		await received;
 		expect(link.isSilent()).to.equal(false);
 	});
 });
--- a/packages/mesh/__tests__/peer-message.spec.ts
+++ b/packages/mesh/__tests__/peer-message.spec.ts
@@ -88,21 +88,21 @@
 );
 
 describe('a frame of messages between nodes', () => {
-	it('is read as it was written', () => {
+	it('decodes to the messages that were encoded', () => {
 		fc.assert(
 			fc.property(fc.array(message, {maxLength: 5}), (messages) => {
 				const frame = decodeFrame(encodeFrame({sentAt: 12.5, messages}));
-				expect(plain(frame._unsafeUnwrap())).to.deep.equal(
-					plain({sentAt: 12.5, messages}),
+				expect(toPlain(frame._unsafeUnwrap())).to.deep.equal(
+					toPlain({sentAt: 12.5, messages}),
 				);
 			}),
 			{seed: 1},
 		);
 	});
 
-	it('gives one clear fault for whatever bytes a peer sends', () => {
-		// A peer of another version, or a stray client, sends bytes that are no
-		// frame. Read without a look, they would end the process beside a target.
+	it('returns an error for any malformed bytes', () => {
+		// A peer of another version, or an unrelated client, sends bytes that are no
+		// frame. Without validation they would end the process of the node.
 		const packr = new Packr({useRecords: false});
 		const malformed: unknown[] = [
 			'text',
@@ -136,7 +136,7 @@
 		);
 	});
 
-	it('spends under 200 bytes on a small request', () => {
+	it('takes less than 200 bytes for a small request', () => {
 		const frame = encodeFrame({
 			sentAt: 123_456.789,
 			messages: [
@@ -167,8 +167,8 @@
 	});
 });
 
-/** Buffers and byte arrays of the same content are the same here. */
-function plain(value: unknown): unknown {
+/** Converts buffers and byte arrays to lists, so that equal contents compare as equal. */
+function toPlain(value: unknown): unknown {
 	return JSON.parse(
 		JSON.stringify(value, (_key, item: unknown) => {
 			if (item instanceof Uint8Array) {
--- a/packages/mesh/__tests__/peer-updates.spec.ts
+++ b/packages/mesh/__tests__/peer-updates.spec.ts
@@ -4,7 +4,7 @@
 import {createUpdateHandler} from '../src/peer-updates.js';
 import type {RoutingConfiguration} from '../src/route.js';
 
-describe('news on a link', () => {
+describe('updates on a link', () => {
 	const configurationOf = (version: number): RoutingConfiguration => ({
 		version,
 		routes: [],
@@ -33,42 +33,42 @@
 			onQuotaGrant: () => undefined,
 			onSuspects: () => undefined,
 		});
-		const told: Array<{from: number; message: PeerMessage}> = [];
+		const sent: Array<{from: number; message: PeerMessage}> = [];
 		return {
 			clock,
-			told,
+			sent,
 			receive(from: number, message: PeerMessage) {
 				handle(message, (reply) => {
-					told.push({from, message: reply});
+					sent.push({from, message: reply});
 				});
 			},
 		};
 	}
 
-	describe('of a configuration that is newer', () => {
-		it('asks one peer at a time, however many tell of it', () => {
-			// After a restart every link begins with the version in force. Asked of
-			// each of them, the body would come fifty times.
+	describe('about a newer configuration', () => {
+		it('request it from one peer at a time, however many announce it', () => {
+			// After a restart every link announces the version in force. Requested from
+			// each peer, the configuration would be received fifty times.
 			const node = createNode();
 			for (let peer = 0; peer < 50; peer++) {
 				node.receive(peer, {kind: 'version', version: 3});
 			}
 
-			expect(node.told).to.deep.equal([
+			expect(node.sent).to.deep.equal([
 				{from: 0, message: {kind: 'configurationWanted'}},
 			]);
 		});
 
-		it('asks the next peer when the first one does not answer', () => {
-			// The first peer froze just after it had told of the version.
+		it('request it from the next peer when the first one does not answer', () => {
+			// The first peer froze just after it announced the version.
 			const node = createNode();
 			node.receive(0, {kind: 'version', version: 3});
 			node.receive(1, {kind: 'version', version: 3});
 			node.clock.advanceTo(1000);
-			expect(node.told.map(({from}) => from)).to.deep.equal([0, 1]);
+			expect(node.sent.map(({from}) => from)).to.deep.equal([0, 1]);
 		});
 
-		it('asks nobody else once the configuration has come', () => {
+		it('send no further requests once the configuration has arrived', () => {
 			const node = createNode();
 			node.receive(0, {kind: 'version', version: 3});
 			node.receive(1, {kind: 'version', version: 3});
@@ -77,10 +77,10 @@
 				configuration: configurationOf(3),
 			});
 			node.clock.advanceTo(1000);
-			expect(node.told).to.have.length(1);
+			expect(node.sent).to.have.length(1);
 		});
 
-		it('asks again for a version that is newer still', () => {
+		it('request a still newer version', () => {
 			const node = createNode();
 			node.receive(0, {kind: 'version', version: 3});
 			node.receive(0, {
@@ -89,20 +89,20 @@
 			});
 			node.receive(1, {kind: 'version', version: 4});
 			node.clock.advanceTo(1000);
-			expect(node.told.map(({from}) => from)).to.deep.equal([0, 1]);
+			expect(node.sent.map(({from}) => from)).to.deep.equal([0, 1]);
 		});
 	});
 
-	it('does not ask for a version that is known', () => {
+	it('request no version that is already in force', () => {
 		const node = createNode(3);
 		node.receive(0, {kind: 'version', version: 3});
-		expect(node.told).to.have.length(0);
+		expect(node.sent).to.have.length(0);
 	});
 
-	it('answers who asks', () => {
+	it('return the configuration on request', () => {
 		const node = createNode(3);
 		node.receive(0, {kind: 'configurationWanted'});
-		expect(node.told).to.deep.equal([
+		expect(node.sent).to.deep.equal([
 			{
 				from: 0,
 				message: {kind: 'configuration', configuration: configurationOf(3)},
--- a/packages/mesh/__tests__/row-store-stand-in.ts
+++ b/packages/mesh/__tests__/row-store-stand-in.ts
@@ -1,14 +1,14 @@
-/** A store in memory that counts its calls, for specs of what reads and writes it. */
+/** An in-memory store that counts its calls, for specs of modules that read or write the store. */
 import {err, ok} from 'neverthrow';
 import type {RowStore, StoredRow} from '../src/row-store.js';
 
-/** The store, with the calls made so far. */
+/** The store, with its rows and the number of calls so far. */
 export type RowStoreStandIn = RowStore & {
 	calls: {read: number; changes: number; write: number};
 	rows: Map<string, StoredRow>;
 };
 
-/** Creates an empty store; a wait for changes lasts as long as `pause` says. */
+/** Creates an empty store; `pause` implements the wait for changes. */
 export function createRowStoreStandIn(
 	pause: (milliseconds: number) => Promise<void> = async () => undefined,
 ): RowStoreStandIn {
--- a/packages/mesh/__tests__/suspect-fleet.ts
+++ b/packages/mesh/__tests__/suspect-fleet.ts
@@ -1,6 +1,6 @@
 /**
- * A fleet on a virtual clock whose targets crash under one request: what each
- * node knows of it, links that can be cut, and the store that all share.
+ * Simulates a fleet on a virtual clock whose targets crash under one request,
+ * with the suspects of each node, links that can be cut, and a shared store.
  */
 import {createRandom, createVirtualClock} from '@egretspoke/shared';
 import {identifyRequest, isQuarantined} from '@egretspoke/quarantine';
@@ -12,34 +12,34 @@
 import {createSuspects, toMessage, type Suspects} from '../src/suspects.js';
 import {createRowStoreStandIn} from './row-store-stand-in.js';
 
-/** How a fleet is laid out. */
+/** Size and topology of a fleet. */
 export type SuspectFleetOptions = {
 	nodes: number;
 	dataCentres: number;
-	/** Other nodes that a node is linked to. */
+	/** Approximate number of links per node. */
 	links: number;
 	seed: number;
 };
 
-/** Milliseconds from one node to another. */
-const wayTime = 3;
-/** Milliseconds between two looks of a follower at the store. */
-const feedTime = 100;
-/** Milliseconds from the start of the request to the crash, and until the target is back. */
-const crashTime = 100;
-const downTime = 1500;
-/** Targets that one attempt of a caller may reach. */
+/** Latency between two nodes, in milliseconds. */
+const linkLatency = 3;
+/** Milliseconds between two reads of the store by a follower. */
+const feedInterval = 100;
+/** Milliseconds from the start of the request to the crash, and from there until the target has restarted. */
+const crashDelay = 100;
+const restartDuration = 1500;
+/** Maximum number of targets that one call of a caller may reach. */
 const attempts = 2;
 
 type FleetNode = {
 	member: Member;
 	suspects: Suspects;
-	life: AbortController;
+	lifetime: AbortController;
 	linked: Set<string>;
 	isTargetUp: boolean;
 };
 
-const deadly = {
+const crashingRequest = {
 	method: 'GET',
 	path: '/read/deadly',
 	headers: ['Host', 'shop.example'],
@@ -47,16 +47,16 @@
 };
 
 const headerNames = {workspace: 'workspace'};
-const identity = identifyRequest(partsOf(deadly, headerNames));
+const identity = identifyRequest(partsOf(crashingRequest, headerNames));
 
-/** Creates a fleet that knows nothing of the request. */
+/** Creates a fleet without suspects. */
 export function createSuspectFleet(options: SuspectFleetOptions) {
 	const clock = createVirtualClock();
 	const random = createRandom(options.seed);
 	const store = createRowStoreStandIn(
 		async () =>
 			new Promise((resolve) => {
-				clock.setTimer(feedTime, () => {
+				clock.setTimer(feedInterval, () => {
 					resolve();
 				});
 			}),
@@ -82,7 +82,7 @@
 
 	const deliver = (to: FleetNode, message: PeerMessage) => {
 		bytes += JSON.stringify(message).length;
-		clock.setTimer(wayTime, () => {
+		clock.setTimer(linkLatency, () => {
 			if (message.kind === 'suspects' && nodes.get(to.member.node) === to) {
 				to.suspects.receive(message);
 			}
@@ -103,7 +103,7 @@
 	});
 
 	const start = (member: Member, linked: Set<string>) => {
-		const life = new AbortController();
+		const lifetime = new AbortController();
 		const gossip = createGossip({
 			clock,
 			random: random.fork(),
@@ -122,7 +122,7 @@
 			clock,
 			random: random.fork(),
 			reporter,
-			// As feed-followers.ts has it: some nodes for all, and whoever reaches none of them.
+			// As in feed-followers.ts: some nodes follow for all, and so does each node that reaches none of them.
 			isFollower: () =>
 				Number(member.node.slice(5)) < 5 ||
 				!reach(node).some((to) => Number(to.member.node.slice(5)) < 5),
@@ -132,7 +132,7 @@
 		});
 		const node: FleetNode = {
 			member,
-			life,
+			lifetime,
 			linked,
 			isTargetUp: true,
 			suspects: createSuspects({
@@ -149,7 +149,7 @@
 			}),
 		};
 		nodes.set(member.node, node);
-		void register.run(life.signal);
+		void register.run(lifetime.signal);
 		for (const to of reach(node)) {
 			for (const message of to.suspects.initialMessages()) {
 				deliver(node, message);
@@ -181,9 +181,9 @@
 		);
 	}
 
-	/** One attempt of a caller, from the entry on. */
+	/** Sends a call from an entry node. */
 	const send = (from: FleetNode, reached = 0) => {
-		const known = from.suspects.lookUp(deadly);
+		const known = from.suspects.lookUp(crashingRequest);
 		const targets = [from, ...reach(from)].filter(({isTargetUp}) => isTargetUp);
 		if (targets.length === 0 || (known && isQuarantined(known))) {
 			return;
@@ -191,18 +191,18 @@
 
 		const to = targets[random.below(targets.length)]!;
 		const sent = Math.max(reached, known?.crashes ?? 0);
-		clock.setTimer(wayTime, () => {
-			const suspect = to.suspects.lookUp(deadly);
+		clock.setTimer(linkLatency, () => {
+			const suspect = to.suspects.lookUp(crashingRequest);
 			if (!to.isTargetUp || (suspect && isQuarantined(suspect))) {
 				return;
 			}
 
 			const startedAt = clock.now();
-			clock.setTimer(crashTime, () => {
+			clock.setTimer(crashDelay, () => {
 				if (to.isTargetUp) {
 					crash(to, startedAt, sent);
 					if (reached + 1 < attempts) {
-						clock.setTimer(wayTime, () => {
+						clock.setTimer(linkLatency, () => {
 							send(from, reached + 1);
 						});
 					}
@@ -215,7 +215,7 @@
 		crashes.push(clock.now());
 		node.isTargetUp = false;
 		node.suspects.noteCrash([{identity, startedAt, crashes: sent}]);
-		clock.setTimer(downTime, () => {
+		clock.setTimer(restartDuration, () => {
 			node.isTargetUp = true;
 		});
 	};
@@ -226,11 +226,11 @@
 		members,
 		store,
 		bytes: () => bytes,
-		/** A caller repeats the request at nodes drawn at random. */
+		/** Sends the request repeatedly, to randomly chosen nodes. */
 		async repeat(perSecond: number, until: number) {
 			while (clock.now() < until) {
 				const gap = (-Math.log(1 - random.fraction()) * 1000) / perSecond;
-				// eslint-disable-next-line no-await-in-loop -- time goes on by steps.
+				// eslint-disable-next-line no-await-in-loop -- virtual time advances in steps.
 				await clock.runTo(clock.now() + gap);
 				const {node} = members[random.below(members.length)]!;
 				send(nodes.get(node)!);
@@ -239,17 +239,17 @@
 		cut(isNowCut: (from: Member, to: Member) => boolean) {
 			isCut = isNowCut;
 		},
-		/** Ends nodes, which start again with nothing in mind. */
-		restart(isConcerned: (member: Member) => boolean) {
-			for (const member of members.filter((one) => isConcerned(one))) {
-				const {linked, life} = nodes.get(member.node)!;
-				life.abort();
+		/** Restarts nodes, which lose their state in memory. */
+		restart(isAffected: (member: Member) => boolean) {
+			for (const member of members.filter((one) => isAffected(one))) {
+				const {linked, lifetime} = nodes.get(member.node)!;
+				lifetime.abort();
 				start(member, linked);
 			}
 		},
 		close() {
-			for (const {life} of nodes.values()) {
-				life.abort();
+			for (const {lifetime} of nodes.values()) {
+				lifetime.abort();
 			}
 		},
 	};
--- a/packages/mesh/__tests__/suspects.spec.ts
+++ b/packages/mesh/__tests__/suspects.spec.ts
@@ -1,10 +1,10 @@
 import {expect} from 'chai';
 import {createSuspectFleet, type SuspectFleetOptions} from './suspect-fleet.js';
 
-/** Milliseconds in which nodes that are in touch hear of the third crash. */
+/** Milliseconds within which connected nodes are notified of the third crash. */
 const stabilityWindow = 3000;
-/** Targets that may crash after it. */
-const mostLate = 3;
+/** Maximum number of targets that crash after it. */
+const maxLate = 3;
 
 const fleets: Array<Omit<SuspectFleetOptions, 'seed'>> = [
 	{nodes: 6, dataCentres: 2, links: 6},
@@ -22,7 +22,7 @@
 describe('a request that crashes targets, over a fleet', () => {
 	for (const fleetOptions of fleets) {
 		describe(`of ${fleetOptions.nodes} nodes`, () => {
-			const play = async (
+			const run = async (
 				act: (fleet: ReturnType<typeof createSuspectFleet>) => Promise<void>,
 			) => {
 				for (const seed of seeds) {
@@ -32,37 +32,37 @@
 					fleet.close();
 					expect(fleet.crashes.length, `seed ${seed}`).to.be.at.least(3);
 					expect(countLate(fleet.crashes), `seed ${seed}`).to.be.at.most(
-						mostLate,
+						maxLate,
 					);
 				}
 			};
 
-			// Guards against repeats that come in at any node.
-			it('reaches at most three targets more, whoever is asked', async () => {
-				await play(async (fleet) => fleet.repeat(10, 20_000));
+			// Guards against repeats that arrive at any node.
+			it('crashes at most three more targets, whichever node receives it', async () => {
+				await run(async (fleet) => fleet.repeat(10, 20_000));
 			});
 
-			// Guards against data centres that each count for themselves.
-			it('reaches at most three targets more while the data centres are cut off from each other', async () => {
-				await play(async (fleet) => {
+			// Guards against data centres that count crashes separately.
+			it('crashes at most three more targets while the data centres are cut off from each other', async () => {
+				await run(async (fleet) => {
 					fleet.cut((from, to) => from.dataCentre !== to.dataCentre);
 					await fleet.repeat(2, 20_000);
 				});
 			});
 
-			// Guards against nodes that each count for themselves.
-			it('reaches at most three targets more while a third of the nodes are alone', async () => {
-				await play(async (fleet) => {
-					const isAlone = ({node}: {node: string}) =>
+			// Guards against nodes that count crashes separately.
+			it('crashes at most three more targets while a third of the nodes are isolated', async () => {
+				await run(async (fleet) => {
+					const isIsolated = ({node}: {node: string}) =>
 						Number(node.slice(5)) % 3 === 0;
-					fleet.cut((from, to) => isAlone(from) || isAlone(to));
+					fleet.cut((from, to) => isIsolated(from) || isIsolated(to));
 					await fleet.repeat(2, 20_000);
 				});
 			});
 
-			// Guards against nodes that forget by a restart.
-			it('reaches at most three targets more though nodes start again, one by one and all at once', async () => {
-				await play(async (fleet) => {
+			// Guards against nodes that lose suspects in a restart.
+			it('crashes at most three more targets while nodes restart, one by one and all at once', async () => {
+				await run(async (fleet) => {
 					await fleet.repeat(5, 5000);
 					for (let index = 0; index < 10; index++) {
 						fleet.restart(({node}) => Number(node.slice(5)) % 10 === index);
--- a/packages/mesh/__tests__/ticker.spec.ts
+++ b/packages/mesh/__tests__/ticker.spec.ts
@@ -3,22 +3,22 @@
 import {createTicker, tickInterval} from '../src/ticker.js';
 
 describe('periodic work', () => {
-	it('is done in its periods, on one timer, until the node ends', () => {
+	it('runs at its intervals, on one timer, until the node stops', () => {
 		const clock = createVirtualClock();
-		const life = new AbortController();
-		const ticker = createTicker(clock, life.signal);
-		const acted = {often: 0, seldom: 0};
+		const lifetime = new AbortController();
+		const ticker = createTicker(clock, lifetime.signal);
+		const runs = {frequent: 0, rare: 0};
 		ticker.schedule(tickInterval, () => {
-			acted.often++;
+			runs.frequent++;
 		});
 		ticker.schedule(4.5 * tickInterval, () => {
-			acted.seldom++;
+			runs.rare++;
 		});
 		expect(clock.pending()).to.equal(1);
 		clock.advanceTo(20 * tickInterval);
-		expect(acted).to.deep.equal({often: 20, seldom: 4});
-		life.abort();
+		expect(runs).to.deep.equal({frequent: 20, rare: 4});
+		lifetime.abort();
 		clock.advanceTo(40 * tickInterval);
-		expect(acted.often).to.equal(20);
+		expect(runs.frequent).to.equal(20);
 	});
 });
--- a/packages/mesh/src/compact-message.ts
+++ b/packages/mesh/src/compact-message.ts
@@ -1,9 +1,10 @@
 /**
- * Requests, outcomes, cancels and loads as lists in place of maps.
+ * Encodes requests, outcomes, cancels and loads as lists instead of maps.
  *
- * They are nearly all that links carry. As maps each spells some fifteen
- * names, which is more than the rest of a small request, and bytes between
- * data centres are paid for. Lists are also quicker to write and to read.
+ * These messages are nearly all of the traffic on links. As a map, each would
+ * spell out about fifteen property names, which is more than the rest of a small
+ * request, and traffic between data centres is billed by the byte. Lists are
+ * also faster to encode and to decode.
  */
 import type {
 	HandedRequest,
@@ -13,9 +14,9 @@
 	TargetLoad,
 } from './exchange.js';
 
-/** A message that travels as a list. */
+/** A message that is sent as a list. */
 export type CompactMessage =
-	/** How loaded the sender's target is, when no outcome has told it lately. */
+	/** Load of the sender's target; sent if no recent outcome carried it. */
 	| {kind: 'load'; load: TargetLoad}
 	| {kind: 'request'; exchange: number; request: HandedRequest}
 	| {kind: 'cancel'; exchange: number}
@@ -28,7 +29,7 @@
 
 type Kind = CompactMessage['kind'];
 
-/** The first item of each list. */
+/** Message codes; the first item of each list. */
 const codes = {
 	request: 0,
 	cancel: 1,
@@ -36,22 +37,22 @@
 	load: 3,
 } as const satisfies Record<Kind, number>;
 
-/** Shares travel as whole thousandths: a fraction takes nine bytes. */
-const shareScale = 1000;
+/** Ratios are sent as whole thousandths, because a floating-point number takes nine bytes. */
+const ratioScale = 1000;
 
-/** Whether a message travels as a list. */
+/** Whether a message is sent as a list. */
 export function isCompact<T extends {kind: string}>(
 	message: T,
 ): message is Extract<T, CompactMessage> {
 	return Object.hasOwn(codes, message.kind);
 }
 
-/** Writes a message as a list. */
+/** Encodes a message as a list. */
 export function toCompact(message: CompactMessage): unknown[] {
-	return writers[message.kind](message as never);
+	return encoders[message.kind](message as never);
 }
 
-const writers: {
+const encoders: {
 	[K in Kind]: (message: Extract<CompactMessage, {kind: K}>) => unknown[];
 } = {
 	request: ({exchange, request}) => [
@@ -67,9 +68,9 @@
 		request.isInner,
 		request.priority,
 		Math.round(request.patience),
-		// Never more than there is.
+		// Rounded down, so that the receiver never assumes more time than is left.
 		Math.floor(request.timeLeft),
-		Math.round(request.repeatShare * shareScale),
+		Math.round(request.repeatShare * ratioScale),
 		request.route,
 		request.isNearItsEnd,
 		request.crashes,
@@ -86,31 +87,31 @@
 	],
 };
 
-/** Reads a list; undefined when it is none of these messages. */
+/** Decodes a list; returns undefined if it is none of these messages. */
 export function fromCompact(list: unknown[]): CompactMessage | undefined {
-	const reader = readers[list[0] as number];
-	return reader &&
-		list.length >= reader.leastLength &&
+	const decoder = decoders[list[0] as number];
+	return decoder &&
+		list.length >= decoder.minLength &&
 		typeof list[1] === 'number'
-		? reader.read(list)
+		? decoder.read(list)
 		: undefined;
 }
 
-/** A reader for each code, and the items that its list has at least. */
-const readers: Array<{
-	leastLength: number;
+/** The decoder of each code, with the minimum length of its list. */
+const decoders: Array<{
+	minLength: number;
 	read: (list: unknown[]) => CompactMessage | undefined;
 }> = [
-	{leastLength: 17, read: readRequest},
+	{minLength: 17, read: readRequest},
 	{
-		leastLength: 2,
+		minLength: 2,
 		read: (list) => ({kind: 'cancel', exchange: list[1] as number}),
 	},
-	{leastLength: 5, read: readOutcome},
-	{leastLength: 5, read: readLoad},
+	{minLength: 5, read: readOutcome},
+	{minLength: 5, read: readLoad},
 ];
 
-/** Where a request's list holds what, by type; its headers and its body are looked at apart. */
+/** Positions in a request's list, by type; headers and body are checked separately. */
 const requestTypes = {
 	string: [2, 3, 4, 7, 14],
 	boolean: [8, 9, 15],
@@ -118,9 +119,9 @@
 } as const;
 
 /**
- * A part of a wrong type would throw at the target's client after a slot was
- * taken for it, which is then never free again; one would notice a target
- * that is called full and runs nothing.
+ * An item of a wrong type would throw in the target's client after the request
+ * has taken a slot, which would never be released: the target would be reported
+ * as full while it runs nothing.
  */
 function isRequestList(list: unknown[]): boolean {
 	const body = list[6];
@@ -153,7 +154,7 @@
 			priority: list[10] as number,
 			patience: list[11] as number,
 			timeLeft: list[12] as number,
-			repeatShare: (list[13] as number) / shareScale,
+			repeatShare: (list[13] as number) / ratioScale,
 			route: list[14] as string,
 			isNearItsEnd: list[15] as boolean,
 			crashes: list[16] as number,
@@ -213,14 +214,14 @@
 	}
 }
 
-/** Shares in thousandths, and the run time in milliseconds. */
+/** Ratios in thousandths, and the run time in milliseconds. */
 type LoadNumbers = [number, number, number, number];
 
 function toNumbers(load: TargetLoad): LoadNumbers {
 	return [
-		Math.round(load.occupancy * shareScale),
-		Math.round(load.shedLevel * shareScale),
-		Math.round(load.failureShare * shareScale),
+		Math.round(load.occupancy * ratioScale),
+		Math.round(load.shedLevel * ratioScale),
+		Math.round(load.failureShare * ratioScale),
 		Math.round(load.runTime),
 	];
 }
@@ -232,9 +233,9 @@
 	runTime,
 ]: LoadNumbers): TargetLoad {
 	return {
-		occupancy: occupancy / shareScale,
-		shedLevel: shedLevel / shareScale,
-		failureShare: failureShare / shareScale,
+		occupancy: occupancy / ratioScale,
+		shedLevel: shedLevel / ratioScale,
+		failureShare: failureShare / ratioScale,
 		runTime,
 	};
 }
--- a/packages/mesh/src/configuration-follower.ts
+++ b/packages/mesh/src/configuration-follower.ts
@@ -1,11 +1,11 @@
 /**
  * Keeps the newest accepted configuration in force at this node.
  *
- * It comes by the store's feed and from peers: some nodes follow the feed for
- * all (`feed-followers.ts`), and the store may refuse this node, or its feed may
- * have gone silent. A version is taken only if it is
- * newer than the one in force: news that travel over several ways arrive out
- * of order, and callers would see a change come and go.
+ * Configurations arrive from the store's feed and from peers: some nodes follow
+ * the feed for all (`feed-followers.ts`), and the store may refuse this node, or
+ * its feed may have stalled. A version is applied only if it is newer than the
+ * one in force: updates from several sources arrive out of order, and callers
+ * would see a change applied and reverted.
  */
 import {sleep, type Clock, type Random} from '@egretspoke/shared';
 import type {Result} from 'neverthrow';
@@ -19,29 +19,29 @@
 } from './row-store.js';
 import {followTable} from './table-feed.js';
 
-/** What a follower needs. */
+/** Options of `createConfigurationFollower`. */
 export type ConfigurationFollowerOptions = {
 	store: RowStore;
-	/** The row that holds the newest configuration whole. */
+	/** The row that holds the complete newest configuration. */
 	row: RowAddress;
 	decode: (value: string) => Result<RoutingConfiguration, string>;
 	clock: Clock;
 	random: Random;
-	/** Milliseconds that peers are given to bring a configuration before the store is asked. */
+	/** Milliseconds to wait for a configuration from peers before the store is read. */
 	startDelay: number;
-	/** Whether this node is to follow the feed, or leaves it to peers. */
+	/** Whether this node should follow the feed instead of relying on peers. */
 	isFollower: () => boolean;
-	/** The node has begun or ceased to follow. */
+	/** Called when the node starts or stops following the feed. */
 	onFollowingChange: () => void;
 	reporter: MeshReporter;
-	/** A newer version is in force. */
+	/** Called with each newer version, once it is in force. */
 	onApplied: (configuration: RoutingConfiguration) => void;
 };
 
-/** The follower. */
+/** Provides the configuration in force. */
 export type ConfigurationFollower = {
 	current(): RoutingConfiguration | undefined;
-	/** Takes what a peer sent, if it is newer. */
+	/** Applies a configuration from a peer, if it is newer. */
 	offer(configuration: RoutingConfiguration): void;
 	/** Whether this node follows the feed and the store serves it. */
 	isFollowing(): boolean;
@@ -49,21 +49,21 @@
 	run(signal: AbortSignal): Promise<void>;
 };
 
-/** Milliseconds between two looks at whether this node is to follow. */
+/** Milliseconds between two checks whether this node should follow the feed. */
 export const followerCheckInterval = 1000;
 
-/** Creates a follower that knows no configuration. */
+/** Creates a follower without a configuration. */
 export function createConfigurationFollower(
 	options: ConfigurationFollowerOptions,
 ): ConfigurationFollower {
 	const {store, row, clock, random, reporter} = options;
 	let current: RoutingConfiguration | undefined;
-	let isStoreLost = false;
-	let hasTurn = false;
+	let isStoreUnreachable = false;
+	let isSelected = false;
 	let wasFollowing = false;
-	let onFirst: () => void = () => undefined;
+	let onFirstApplied: () => void = () => undefined;
 
-	const take = (
+	const apply = (
 		configuration: RoutingConfiguration,
 		source: 'store' | 'peer',
 	) => {
@@ -77,10 +77,10 @@
 			source,
 		});
 		options.onApplied(configuration);
-		onFirst();
+		onFirstApplied();
 	};
 
-	const takeRows = (rows: StoredRow[]) => {
+	const applyRows = (rows: StoredRow[]) => {
 		for (const {key, value, isRemoved} of rows) {
 			if (key !== row.key || isRemoved) {
 				continue;
@@ -88,7 +88,7 @@
 
 			options.decode(value).match(
 				(configuration) => {
-					take(configuration, 'store');
+					apply(configuration, 'store');
 				},
 				(detail) => {
 					reporter.notice('configurationRefused', {version: 0, detail});
@@ -97,11 +97,11 @@
 		}
 	};
 
-	const noteStore = (failure: StoreFailure | undefined) => {
-		const isLost = failure !== undefined && failure.kind !== 'forgotten';
-		if (isLost !== isStoreLost) {
-			isStoreLost = isLost;
-			if (isLost) {
+	const recordStoreResult = (failure: StoreFailure | undefined) => {
+		const isUnreachable = failure !== undefined && failure.kind !== 'forgotten';
+		if (isUnreachable !== isStoreUnreachable) {
+			isStoreUnreachable = isUnreachable;
+			if (isUnreachable) {
 				reporter.notice('platformUnreachable', {detail: describe(failure)});
 			} else {
 				reporter.notice('platformReachable');
@@ -109,40 +109,43 @@
 		}
 	};
 
-	/** After a restart peers have the configuration, and bring it sooner than they could be asked twice. */
+	/** After a restart, peers have the configuration and send it in less time than two requests apply. */
 	const waitForPeers = async (signal: AbortSignal) => {
-		const isTaken = new Promise<void>((resolve) => {
-			onFirst = resolve;
+		const firstApplied = new Promise<void>((resolve) => {
+			onFirstApplied = resolve;
 		});
-		await Promise.race([isTaken, sleep(clock, options.startDelay, signal)]);
+		await Promise.race([
+			firstApplied,
+			sleep(clock, options.startDelay, signal),
+		]);
 	};
 
-	const isFollowing = () => hasTurn && !isStoreLost;
+	const isFollowing = () => isSelected && !isStoreUnreachable;
 
-	const tellFollowing = () => {
+	const notifyFollowingChange = () => {
 		if (isFollowing() !== wasFollowing) {
 			wasFollowing = isFollowing();
 			options.onFollowingChange();
 		}
 	};
 
-	const waitForTurn = async (signal: AbortSignal) => {
+	const waitUntilSelected = async (signal: AbortSignal) => {
 		while (!signal.aborted && !options.isFollower()) {
-			hasTurn = false;
-			tellFollowing();
-			// eslint-disable-next-line no-await-in-loop -- one look a period.
+			isSelected = false;
+			notifyFollowingChange();
+			// eslint-disable-next-line no-await-in-loop -- one check per interval.
 			await sleep(clock, followerCheckInterval, signal);
 		}
 
-		hasTurn = !signal.aborted;
-		tellFollowing();
+		isSelected = !signal.aborted;
+		notifyFollowingChange();
 	};
 
 	return {
 		current: () => current,
 		isFollowing,
 		offer(configuration) {
-			take(configuration, 'peer');
+			apply(configuration, 'peer');
 		},
 		async run(signal) {
 			await waitForPeers(signal);
@@ -152,11 +155,11 @@
 					table: row.table,
 					clock,
 					random,
-					waitUntilFollower: waitForTurn,
-					onRows: takeRows,
+					waitUntilFollower: waitUntilSelected,
+					onRows: applyRows,
 					onResult(failure) {
-						noteStore(failure);
-						tellFollowing();
+						recordStoreResult(failure);
+						notifyFollowingChange();
 					},
 				},
 				signal,
--- a/packages/mesh/src/counted-store.ts
+++ b/packages/mesh/src/counted-store.ts
@@ -1,9 +1,9 @@
-/** The store, with its failures counted for the metrics. */
+/** Counts the failures of the store for the metrics. */
 import type {MeshMetrics} from '@egretspoke/observability';
 import type {Result} from 'neverthrow';
 import type {RowStore, StoreFailure} from './row-store.js';
 
-/** Wraps a store; a conflict and a forgotten history are answers, and no failures. */
+/** Wraps a store; a conflict and a forgotten history are results, not failures. */
 export function createCountedStore(
 	store: RowStore,
 	metrics: Pick<MeshMetrics, 'storeFailed'>,
--- a/packages/mesh/src/desired-links.ts
+++ b/packages/mesh/src/desired-links.ts
@@ -1,4 +1,4 @@
-/** Which members this node wants links to, service by service, as its links fare. */
+/** Selects the members that this node links to, per service, by demand, occupancy and reachability. */
 import type {Clock} from '@egretspoke/shared';
 import {createNameRank} from './decisions/name-rank.js';
 import {
@@ -19,43 +19,43 @@
 } from './peer.js';
 import type {Member} from './peer-message.js';
 
-/** What the choice needs. */
+/** Options of `createDesiredLinks`. */
 export type DesiredLinksOptions = {
 	clock: Clock;
 	self: Pick<Member, 'node' | 'dataCentre'>;
 	known: KnownMembers;
 	/** Linked nodes, by name. */
 	peers: ReadonlyMap<string, Peer>;
-	/** Members that are wanted whatever their service. */
+	/** Members to link to regardless of their service. */
 	pinned: () => Iterable<string>;
 };
 
-/** The choice. */
+/** Selects the members to link to. */
 export type DesiredLinks = {
-	/** Takes note of a request for the service; true when the subset has to be looked at now. */
+	/** Records a request for the service; returns true if the links should be chosen again at once. */
 	recordRequest(service: string): boolean;
-	/** The member gave a sign of life. */
+	/** Records that the member is alive, so that it counts as reachable. */
 	recordAlive(node: string): void;
-	/** The names of the members to link to; to be called in each period. */
+	/** Returns the names of the members to link to; called at a fixed interval. */
 	choose(): Set<string>;
 };
 
 /** Milliseconds without a link after which a member counts as unreachable. */
-const unreachableTime = 5000;
-/** Milliseconds after which an unreachable member is tried like the others again. */
-const retryTime = 15_000;
-/** Milliseconds for which a service counts as asked for after a request. */
-const askedTime = 60_000;
+const unreachableTimeout = 5000;
+/** Milliseconds after which an unreachable member is eligible again. */
+const retryInterval = 15_000;
+/** Milliseconds after a request during which its service counts as in demand. */
+const demandTimeout = 60_000;
 
 type ServiceSubset = {
 	size: AdaptiveSize;
-	askedAt: number;
+	lastRequestAt: number;
 	ranked: SubsetMember[];
-	/** The revision of members and reachability that was ranked. */
+	/** Revision of members and reachability that `ranked` was computed from. */
 	revision: number;
 };
 
-/** Creates the choice of a node that nobody has asked yet. */
+/** Creates a selection without recorded requests. */
 export function createDesiredLinks({
 	clock,
 	self,
@@ -65,17 +65,17 @@
 }: DesiredLinksOptions): DesiredLinks {
 	const rankOf = createNameRank(self.node);
 	const subsets = new Map<string, ServiceSubset>();
-	/** By node, the instant at which it was found unreachable. */
+	/** Time at which each unreachable node was detected, by node name. */
 	const unreachable = new Map<string, number>();
-	/** Grows with each change of who is reachable. */
-	let reachability = 0;
+	/** Incremented when a node becomes reachable or unreachable. */
+	let reachabilityRevision = 0;
 
 	const subsetOf = (service: string): ServiceSubset => {
 		let subset = subsets.get(service);
 		if (!subset) {
 			subset = {
 				size: createAdaptiveSize(),
-				askedAt: Number.NEGATIVE_INFINITY,
+				lastRequestAt: Number.NEGATIVE_INFINITY,
 				ranked: [],
 				revision: -1,
 			};
@@ -90,7 +90,7 @@
 
 	const rank = (service: string): SubsetMember[] => {
 		const subset = subsetOf(service);
-		const revision = known.revision() + reachability;
+		const revision = known.revision() + reachabilityRevision;
 		if (subset.revision !== revision) {
 			subset.revision = revision;
 			subset.ranked = rankMembers(
@@ -107,7 +107,7 @@
 	};
 
 	const sizeOf = (service: string, now: number): SubsetSize => {
-		const {size, askedAt} = subsetOf(service);
+		const {size, lastRequestAt} = subsetOf(service);
 		let isNearFull = true;
 		let isFull = true;
 		for (const peer of peers.values()) {
@@ -119,26 +119,26 @@
 		}
 
 		return size.update({
-			isAsked: now - askedAt < askedTime,
+			isAsked: now - lastRequestAt < demandTimeout,
 			isNearFull,
 			isFull,
 		});
 	};
 
-	const noteReachability = (now: number) => {
+	const updateReachability = (now: number) => {
 		for (const [node, since] of unreachable) {
-			if (now - since >= retryTime) {
+			if (now - since >= retryInterval) {
 				unreachable.delete(node);
-				reachability++;
+				reachabilityRevision++;
 			}
 		}
 
 		for (const [node, {downSince}] of peers) {
 			const isLost =
-				downSince !== undefined && now - downSince >= unreachableTime;
+				downSince !== undefined && now - downSince >= unreachableTimeout;
 			if (isLost && !unreachable.has(node)) {
 				unreachable.set(node, now);
-				reachability++;
+				reachabilityRevision++;
 			}
 		}
 	};
@@ -147,17 +147,17 @@
 		recordRequest(service) {
 			const now = clock.now();
 			const subset = subsetOf(service);
-			const isFirst = now - subset.askedAt >= askedTime;
-			subset.askedAt = now;
+			const isFirst = now - subset.lastRequestAt >= demandTimeout;
+			subset.lastRequestAt = now;
 			return isFirst;
 		},
 		recordAlive(node) {
-			reachability += unreachable.delete(node) ? 1 : 0;
+			reachabilityRevision += unreachable.delete(node) ? 1 : 0;
 		},
 		choose() {
 			const now = clock.now();
-			noteReachability(now);
-			const wanted = new Set<string>(pinned());
+			updateReachability(now);
+			const desired = new Set<string>(pinned());
 			for (const service of known.services()) {
 				const chosen = chooseSubset(
 					rank(service),
@@ -168,11 +168,11 @@
 					},
 				);
 				for (const {node} of chosen) {
-					wanted.add(node);
+					desired.add(node);
 				}
 			}
 
-			return wanted;
+			return desired;
 		},
 	};
 }
--- a/packages/mesh/src/gossip.ts
+++ b/packages/mesh/src/gossip.ts
@@ -1,36 +1,36 @@
 /**
- * Spreads news through the fleet: each node passes on what it hears of for the
- * first time to a few peers, so that all know of it after some rounds and no
- * node has to tell all others.
+ * Spreads items through the fleet: each node forwards the items that are new to
+ * it to a few peers, so that all nodes receive them after some rounds and no
+ * node has to send them to all others.
  */
 import type {Clock, Random, Timer} from '@egretspoke/shared';
 import type {Peer} from './peer.js';
 import type {Member, PeerMessage} from './peer-message.js';
 
-/** What gossip needs. */
+/** Options of `createGossip`. */
 export type GossipOptions<Item> = {
 	clock: Clock;
 	random: Random;
 	self: Pick<Member, 'dataCentre'>;
-	/** The nodes whose links can be used. */
+	/** Returns the nodes whose links are usable. */
 	links: () => Array<Pick<Peer, 'member' | 'link'>>;
 	toMessage: (items: Item[]) => PeerMessage;
 };
 
-/** The news that wait to be passed on. */
+/** Items that wait to be forwarded. */
 export type Gossip<Item> = {
 	add(item: Item): void;
 	close(): void;
 };
 
-/** Milliseconds in which news are batched into one message. */
-const gatherTime = 100;
-/** Nodes of this data centre that get the news from this node. */
-const nearReceivers = 4;
-/** Nodes of other data centres that do; what crosses is paid for. */
-const farReceivers = 1;
+/** Milliseconds during which items are batched into one message. */
+const batchInterval = 100;
+/** Nodes of the local data centre that each batch is sent to. */
+const localFanout = 4;
+/** Nodes of other data centres that each batch is sent to; this traffic is billed. */
+const remoteFanout = 1;
 
-/** Creates gossip of which nothing waits. */
+/** Creates gossip without waiting items. */
 export function createGossip<Item>(options: GossipOptions<Item>): Gossip<Item> {
 	const {clock, random, self} = options;
 	let waiting: Item[] = [];
@@ -46,18 +46,18 @@
 		return drawn;
 	};
 
-	const tell = () => {
+	const flush = () => {
 		timer = undefined;
 		const message = options.toMessage(waiting);
 		waiting = [];
 		const links = options.links();
-		const isNear = ({member}: Pick<Peer, 'member'>) =>
+		const isLocal = ({member}: Pick<Peer, 'member'>) =>
 			member.dataCentre === self.dataCentre;
-		const near = links.filter((peer) => isNear(peer));
-		const far = links.filter((peer) => !isNear(peer));
+		const local = links.filter((peer) => isLocal(peer));
+		const remote = links.filter((peer) => !isLocal(peer));
 		for (const {link} of [
-			...draw(near, nearReceivers),
-			...draw(far, farReceivers),
+			...draw(local, localFanout),
+			...draw(remote, remoteFanout),
 		]) {
 			link.sendMessage(message);
 		}
@@ -66,7 +66,7 @@
 	return {
 		add(item) {
 			waiting.push(item);
-			timer ??= clock.setTimer(gatherTime, tell);
+			timer ??= clock.setTimer(batchInterval, flush);
 		},
 		close() {
 			timer?.cancel();
--- a/packages/mesh/src/known-members.ts
+++ b/packages/mesh/src/known-members.ts
@@ -1,33 +1,33 @@
-/** Every member that this node has heard of, linked or not. */
+/** Tracks every member that this node was notified of, linked or not. */
 import type {Member} from './peer-message.js';
 
-/** The members, without this node. */
+/** The known members, without this node. */
 export type KnownMembers = {
-	/** Takes a member; tells whether others may have to hear of it. */
+	/** Adds or updates a member; the result shows whether other nodes may need it. */
 	add(member: Member): MemberChange;
 	remove(node: string): void;
 	get(node: string): Member | undefined;
-	/** The members beside targets of the service. */
+	/** Returns the members whose targets belong to the service. */
 	of(service: string): Member[];
 	services(): string[];
-	/** All of them. */
+	/** Returns all known members. */
 	all(): Member[];
-	/** Grows with each change of who is there. */
+	/** Incremented when a member is added, moved or removed. */
 	revision(): number;
-	/** How many members there are. */
+	/** Number of known members. */
 	size(): number;
 };
 
-/** What a member is to what was known. */
+/** How an added member relates to the known ones. */
 export type MemberChange =
-	/** Known, or older than what is known. */
+	/** Already known, or an older start of a known member. */
 	| 'known'
-	/** Known, and started again where it was. */
+	/** A later start of a known member in the same place. */
 	| 'restarted'
-	/** Not known, or not there. */
+	/** Not known, or not known in this place. */
 	| 'new';
 
-/** Creates the knowledge of a node that has heard of nobody. */
+/** Creates an empty set of members for the node `self`. */
 export function createKnownMembers(self: string): KnownMembers {
 	const members = new Map<string, Member>();
 	let revision = 0;
@@ -66,7 +66,7 @@
 	};
 }
 
-/** Whether a member is where it was; if so, those who knew it need not hear of its restart. */
+/** Whether address, data centre and service are unchanged; nodes that know the member then need no update about its restart. */
 export function isSamePlace(left: Member, right: Member): boolean {
 	return (
 		left.address === right.address &&
--- a/packages/mesh/src/local-state.ts
+++ b/packages/mesh/src/local-state.ts
@@ -1,4 +1,4 @@
-/** What a node says of itself to those that are linked to it. */
+/** Creates the messages in which a node reports its state to the nodes that are linked to it. */
 import type {CallProfile} from './decisions/call-profile.js';
 import type {InnerRoutes} from './decisions/inner-routes.js';
 import type {ConfigurationFollower} from './configuration-follower.js';
@@ -11,29 +11,30 @@
 } from './peer-message.js';
 import type {TargetBelief} from './target-belief.js';
 
-/** Where the news come from; each is asked when something is told. */
+/** Sources of the messages, which are read whenever a message is created. */
 export type LocalStateMessagesOptions = {
 	self: Member;
 	isStopping: () => boolean;
 	follower: () => Pick<ConfigurationFollower, 'current' | 'isFollowing'>;
-	belief: () => Pick<TargetBelief, 'state'>;
-	gatekeeper: () => Pick<Gatekeeper, 'load'>;
+	targetTracker: () => Pick<TargetBelief, 'state'>;
+	dispatcher: () => Pick<Gatekeeper, 'load'>;
 	innerRoutes: Pick<InnerRoutes, 'asked'>;
 	profile: Pick<CallProfile, 'profiles'>;
 };
 
-/** The messages, as of now. */
+/** Creates messages with the current state. */
 export type LocalStateMessages = {
 	hello(): HelloMessage;
 	state(): StateMessage;
 	profiles(): ProfilesMessage;
 };
 
-/** Creates the news of a node. */
+/** Creates the message factory of a node. */
 export function createLocalStateMessages(
 	options: LocalStateMessagesOptions,
 ): LocalStateMessages {
-	const {self, follower, belief, gatekeeper, innerRoutes, profile} = options;
+	const {self, follower, targetTracker, dispatcher, innerRoutes, profile} =
+		options;
 	return {
 		hello: () => ({
 			kind: 'hello',
@@ -44,8 +45,8 @@
 			kind: 'state',
 			isStopping: options.isStopping(),
 			isFollowing: follower().isFollowing(),
-			target: belief().state(),
-			load: gatekeeper().load(),
+			target: targetTracker().state(),
+			load: dispatcher().load(),
 			service: self.service,
 			routes: innerRoutes.asked(),
 		}),
--- a/packages/mesh/src/member-gossip.ts
+++ b/packages/mesh/src/member-gossip.ts
@@ -1,14 +1,14 @@
-/** Gossip of new members. A node that it misses finds the member in the store. */
+/** Gossip of new members. A node that the gossip does not reach reads the member from the store. */
 import {createGossip, type Gossip, type GossipOptions} from './gossip.js';
 import type {Member} from './peer-message.js';
 
-/** What the news need. */
+/** Options of `createMemberGossip`. */
 export type MemberGossipOptions = Omit<GossipOptions<Member>, 'toMessage'>;
 
-/** The news that wait to be passed on. */
+/** Members that wait to be forwarded. */
 export type MemberGossip = Gossip<Member>;
 
-/** Creates news of nobody. */
+/** Creates gossip without waiting members. */
 export function createMemberGossip(options: MemberGossipOptions): MemberGossip {
 	return createGossip({
 		...options,
--- a/packages/mesh/src/member-register.ts
+++ b/packages/mesh/src/member-register.ts
@@ -1,13 +1,12 @@
 /**
- * How nodes find each other: each keeps one row in the store, and reads those
- * of the others after it has written its own. Of any two nodes the later one
- * sees the earlier one's row and links to it, and the earlier one learns of it
- * by that link, so that nobody has to follow the table. A slow re-reading
- * mends what a partition has kept apart.
+ * Member discovery: each node writes one row to the store and then reads the
+ * rows of the others. Of any two nodes the later one sees the row of the earlier
+ * one and links to it, and that link notifies the earlier one, so no node has to
+ * follow the table. Rare re-reads reconnect members after a partition.
  *
  * Each write expects the version that this node saw last. A write whose answer
- * was lost may still be done seconds later; its condition is false by then if
- * this node has written since, so an old row never replaces a new one.
+ * was lost may still be executed seconds later; its condition is false by then
+ * if this node has written since, so an old row never replaces a new one.
  */
 import {sleep, type Clock, type Random} from '@egretspoke/shared';
 import {z} from 'zod';
@@ -17,7 +16,7 @@
 import type {RowStore, StoredRow} from './row-store.js';
 import {announcementSchema, type TargetRecord} from './target-record.js';
 
-/** What a row says: the node, and the leaving that it has acknowledged last. */
+/** Content of a row: the member, and the last leaving of a target that it acknowledged. */
 const rowSchema = z.object({
 	member: memberSchema,
 	leaving: announcementSchema.extend({hasLeft: z.boolean()}).optional(),
@@ -25,7 +24,7 @@
 
 type RowValue = z.output<typeof rowSchema>;
 
-/** What a register needs. */
+/** Options of `createMemberRegister`. */
 export type MemberRegisterOptions = {
 	store: RowStore;
 	self: Member;
@@ -33,31 +32,31 @@
 	random: Random;
 	reporter: MeshReporter;
 	onMembers: (members: Member[]) => void;
-	/** An earlier start of this node acknowledged that this target leaves. */
+	/** Called if an earlier start of this node acknowledged that this target leaves. */
 	onEarlierLeaving: (record: TargetRecord) => void;
 };
 
-/** The register. */
+/** The register of members. */
 export type MemberRegister = {
 	/** Writes this node's row and reads the others until the signal aborts. */
 	run(signal: AbortSignal): Promise<void>;
 	/**
-	 * Keeps the leaving of the target beside this node beyond the life of this
-	 * process. Resolves when it is stored, or when the time is over.
+	 * Persists the leaving of the local target, so that it outlasts this process.
+	 * Resolves when it is stored, or after a timeout.
 	 */
 	persistLeaving(record: TargetRecord): Promise<void>;
 };
 
 const table = 'members';
-/** Milliseconds between two readings of the table, by half more or less. */
-const rereadPeriod = 60_000;
-/** Milliseconds between two tries while the store fails. */
-const firstPause = 200;
-const longestPause = 1500;
-/** Milliseconds that an acknowledgement waits for the store: a target waits a second in all. */
-const keepTime = 600;
-
-/** Creates a register. */
+/** Milliseconds between two reads of the table, randomized by half more or less. */
+const rereadInterval = 60_000;
+/** Milliseconds between two attempts while the store fails; doubled up to the maximum. */
+const initialBackoff = 200;
+const maxBackoff = 1500;
+/** Milliseconds that an acknowledgement waits for the store: the target waits one second in total. */
+const persistTimeout = 600;
+
+/** Creates a register that has not started. */
 export function createMemberRegister(
 	options: MemberRegisterOptions,
 ): MemberRegister {
@@ -67,7 +66,7 @@
 	let leaving: TargetRecord | undefined;
 	let writing: Promise<boolean> = Promise.resolve(true);
 
-	/** One write after the other, so that each knows the version before it. */
+	/** Serializes writes, so that each one has the version of the previous one. */
 	const write = async (): Promise<boolean> => {
 		const before = writing;
 		writing = (async () => {
@@ -79,9 +78,9 @@
 
 	const writeOnce = async (): Promise<boolean> => {
 		for (let tries = 0; tries < 3; tries++) {
-			// A conflict can bring the leaving that an earlier start acknowledged; it is kept.
+			// A conflict can return the leaving that an earlier start acknowledged; it is written again.
 			const value: RowValue = {member: self, ...(leaving && {leaving})};
-			// eslint-disable-next-line no-await-in-loop -- a conflict tells the version for the next try.
+			// eslint-disable-next-line no-await-in-loop -- a conflict returns the version for the next attempt.
 			const result = await store.write(
 				{table, key: self.node, value: JSON.stringify(value)},
 				version,
@@ -96,10 +95,10 @@
 				return false;
 			}
 
-			const hasOwnNews = leaving !== undefined;
-			const stored = takeOwnRow(result.error.current);
-			// After a restart in the same place the row says already what others need.
-			if (!hasOwnNews && stored && isSamePlace(stored.member, self)) {
+			const hasLeaving = leaving !== undefined;
+			const stored = applyOwnRow(result.error.current);
+			// After a restart in the same place the row already holds what other nodes need.
+			if (!hasLeaving && stored && isSamePlace(stored.member, self)) {
 				isWritten = true;
 				return true;
 			}
@@ -108,7 +107,7 @@
 		return false;
 	};
 
-	const takeOwnRow = (row: StoredRow | undefined): RowValue | undefined => {
+	const applyOwnRow = (row: StoredRow | undefined): RowValue | undefined => {
 		version = row?.version ?? 0;
 		const value = row && decodeRow(row);
 		if (value?.leaving && !leaving) {
@@ -141,19 +140,19 @@
 
 	return {
 		async run(signal) {
-			let pause = firstPause;
+			let pause = initialBackoff;
 			while (!signal.aborted) {
-				// eslint-disable-next-line no-await-in-loop -- the own row first, then the others'.
+				// eslint-disable-next-line no-await-in-loop -- this node's row is written before the others are read.
 				const isDone = (isWritten || (await write())) && (await readOthers());
-				const time = isDone ? rereadPeriod : pause;
-				pause = isDone ? firstPause : Math.min(longestPause, pause * 2);
-				// eslint-disable-next-line no-await-in-loop -- a pause between two rounds.
-				await sleep(clock, time * (0.5 + random.fraction()), signal);
+				const delay = isDone ? rereadInterval : pause;
+				pause = isDone ? initialBackoff : Math.min(maxBackoff, pause * 2);
+				// eslint-disable-next-line no-await-in-loop -- backoff or interval between two rounds.
+				await sleep(clock, delay * (0.5 + random.fraction()), signal);
 			}
 		},
 		async persistLeaving(record) {
 			leaving = record;
-			await Promise.race([write(), sleep(clock, keepTime)]);
+			await Promise.race([write(), sleep(clock, persistTimeout)]);
 		},
 	};
 }
--- a/packages/mesh/src/mesh-node.ts
+++ b/packages/mesh/src/mesh-node.ts
@@ -1,4 +1,4 @@
-/** One node of the mesh, put together: its listeners, its links and what it keeps up to date. */
+/** One node of the mesh: creates its listeners, links, registers and followers, and connects them. */
 import type {MeshMetrics, MeshReadings} from '@egretspoke/observability';
 import type {Clock, Random} from '@egretspoke/shared';
 import type {Result} from 'neverthrow';
@@ -41,25 +41,25 @@
 import {createTargetBelief} from './target-belief.js';
 import type {Announcement, Withdrawal} from './target-record.js';
 
-/** What a deployment says of one node. */
+/** Settings of one node in a deployment. */
 export type MeshNodeSettings = {
 	node: string;
 	dataCentre: string;
-	/** The service beside which the node runs. */
+	/** The service of the local target. */
 	service: string;
-	/** The address of the target beside it, `ip:port`. */
+	/** Address of the local target, `ip:port`. */
 	targetAddress: string;
-	/** Where callers of this VM send their requests, `ip:port`. */
+	/** Listen address for callers on this VM, `ip:port`. */
 	callerAddress: string;
-	/** Where other nodes link to, `ip:port`. */
+	/** Listen address for links from other nodes, `ip:port`. */
 	peerAddress: string;
 	retryBudget: RetryBudgetOptions;
 	quotaTolerance: QuotaTolerance;
-	/** Milliseconds that a planned stop may take. */
+	/** Maximum duration of a planned stop, in milliseconds. */
 	grace: number;
 };
 
-/** What a node needs besides its settings. */
+/** Settings and dependencies of a node. */
 export type MeshNodeOptions = {
 	settings: MeshNodeSettings;
 	clock: Clock;
@@ -70,42 +70,43 @@
 	headerNames: HeaderNames;
 	reporter: MeshReporter;
 	metrics: MeshMetrics;
-	/** Ours unless another is to be measured beside it. */
+	/** Defaults to `egretspokePolicy`; other policies are for comparison. */
 	policy?: MeshPolicy;
 };
 
-/** A node. */
+/** A node of the mesh. */
 export type MeshNode = {
-	/** Opens the listeners; gives their addresses, for ports that were 0. */
+	/** Opens the listeners; resolves with their addresses, with the assigned ports in place of 0. */
 	start(): Promise<{callers: string; peers: string}>;
-	/** Whether callers should be sent here. */
+	/** Whether callers should send requests to this node. */
 	isReady(): boolean;
-	/** Takes what the target says of itself; false when it is older than what is known. */
+	/** Applies an announcement of the local target; resolves with false if it is older than the recorded state. */
 	announce(announcement: Announcement): Promise<boolean>;
-	/** Takes a target's farewell. */
+	/** Applies a withdrawal of the local target. */
 	withdraw(withdrawal: Withdrawal): Promise<boolean>;
-	/** What the node shows to whoever collects its metrics. */
+	/** Returns the current values for the metrics endpoint. */
 	readings(): MeshReadings;
-	/** Takes changed settings; addresses of listeners can't change. */
+	/** Applies changed settings; the addresses of listeners cannot change. */
 	applySettings(settings: MeshNodeSettings): void;
-	/** A planned stop; resolves when nothing is in flight, or when the grace is over. */
+	/** Performs a planned stop; resolves when no request is in flight or the grace period is over. */
 	stop(): Promise<void>;
-	/** Ends at once; what is in flight is cut. */
+	/** Stops at once and cuts the requests in flight. */
 	abort(): void;
 };
 
 /**
- * Milliseconds after the order to stop in which the target still gets work that
- * has no other target. When nodes are stopped one after the other, faster than
- * they come back, all targets of a small service are behind stopping nodes at
- * some moment; refused there, its callers get nothing for seconds. What is
- * taken in by then has the rest of the grace to end.
+ * Milliseconds after the start of a planned stop during which the target still
+ * accepts requests that have no other target. When nodes are restarted one
+ * after another, faster than they become ready again, all targets of a small
+ * service can be behind stopping nodes at the same time; if these refused
+ * requests, the service would be unavailable for seconds. Accepted requests
+ * have the rest of the grace period to complete.
  */
-const lastWorkTime = 2000;
-/** Milliseconds between two announcements of new routes. */
-const newRoutesPause = 500;
-/** Milliseconds between two announcements of the version in force to a random peer. */
-const versionPeriod = 2000;
+const stoppingAcceptDuration = 2000;
+/** Milliseconds between two announcements of newly requested routes. */
+const newRoutesInterval = 500;
+/** Milliseconds between two announcements of the configuration version to a random peer. */
+const versionInterval = 2000;
 
 /** Creates a node that is not listening yet. */
 export function createMeshNode(options: MeshNodeOptions): MeshNode {
@@ -120,9 +121,9 @@
 		service: settings.service,
 		startedAt: clock.date().getTime(),
 	};
-	const life = new AbortController();
+	const lifetime = new AbortController();
 	const wheel = createDeadlineWheel(clock);
-	const ticker = createTicker(clock, life.signal);
+	const ticker = createTicker(clock, lifetime.signal);
 	let routes: RouteTable | undefined;
 	let isStopping = false;
 	let isMembershipKnown = false;
@@ -130,25 +131,25 @@
 	const innerRoutes = createInnerRoutes(self.service);
 	const profile = createCallProfile();
 	const graph = createCallGraph();
-	const ownNews = createLocalStateMessages({
+	const localState = createLocalStateMessages({
 		self,
 		isStopping: () => isStopping,
 		follower: () => follower,
-		belief: () => belief,
-		gatekeeper: () => gatekeeper,
+		targetTracker: () => targetTracker,
+		dispatcher: () => gatekeeper,
 		innerRoutes,
 		profile,
 	});
-	/** For peers that were out of reach when the version was new. */
-	const tellVersion = () => {
+	/** For peers that were unreachable when the version was announced to all. */
+	const announceVersion = () => {
 		const configuration = follower.current();
 		if (configuration) {
 			directory.tellOne({kind: 'version', version: configuration.version});
 		}
 	};
 
-	const tellState = () => {
-		peerListener.broadcast(ownNews.state());
+	const broadcastState = () => {
+		peerListener.broadcast(localState.state());
 	};
 
 	const suspects = createSuspects({
@@ -159,7 +160,7 @@
 			directory.tellAll(message);
 			peerListener.broadcast(message);
 		},
-		gossip: () => suspectNews,
+		gossip: () => suspectGossip,
 		register: () => suspectRegister,
 	});
 
@@ -174,7 +175,7 @@
 		suspects,
 		profile,
 		onReachable(reachable) {
-			belief.setReachable(reachable);
+			targetTracker.setReachable(reachable);
 		},
 	});
 	const follower = createConfigurationFollower({
@@ -187,7 +188,7 @@
 		isFollower: () => isFeedFollower(self.node, directory.feedPeers()),
 		reporter,
 		onFollowingChange() {
-			tellState();
+			broadcastState();
 		},
 		onApplied(configuration) {
 			routes = createRouteTable(configuration);
@@ -232,14 +233,14 @@
 		random: random.fork(),
 		ticker,
 		self,
-		hello: () => [ownNews.hello(), ...suspects.initialMessages()],
+		hello: () => [localState.hello(), ...suspects.initialMessages()],
 		onMessage: receive,
 		onMalformed,
 		onProfiles(peer, {service, profiles}) {
 			graph.take(peer, service, profiles);
 		},
-		onState({service, routes: asked}) {
-			innerRoutes.take(service, asked);
+		onState({service, routes: requested}) {
+			innerRoutes.take(service, requested);
 		},
 		pinned: quotas.pinned,
 		onPeer(node, change) {
@@ -254,15 +255,15 @@
 		clock,
 		dispatcher: gatekeeper,
 		initialMessages: () => [
-			ownNews.hello(),
-			ownNews.state(),
-			ownNews.profiles(),
+			localState.hello(),
+			localState.state(),
+			localState.profiles(),
 			...suspects.initialMessages(),
 		],
 		onMessage: receive,
 		onMalformed,
 	});
-	const suspectNews = createGossip({
+	const suspectGossip = createGossip({
 		clock,
 		random: random.fork(),
 		self,
@@ -295,21 +296,21 @@
 	const learning = createLearning({
 		clock,
 		ticker,
-		signal: life.signal,
+		signal: lifetime.signal,
 		profile,
 		pressure,
 		onLearnt() {
 			graph.take(self.node, settings.service, profile.profiles());
 		},
 		tell() {
-			peerListener.broadcast(ownNews.profiles());
+			peerListener.broadcast(localState.profiles());
 		},
 	});
-	const newRoutes = createThrottledUpdates({
+	const newRouteUpdates = createThrottledUpdates({
 		clock,
-		initialInterval: newRoutesPause,
-		maxInterval: newRoutesPause,
-		send: tellState,
+		initialInterval: newRoutesInterval,
+		maxInterval: newRoutesInterval,
+		send: broadcastState,
 	});
 	const entry = createEntry({
 		clock,
@@ -327,7 +328,7 @@
 		pressure,
 		suspects,
 		onNewRoute() {
-			newRoutes.schedule();
+			newRouteUpdates.schedule();
 		},
 		reporter,
 		metrics,
@@ -353,21 +354,21 @@
 			directory.addMembers(members, 'store');
 		},
 		onEarlierLeaving(record) {
-			belief.takeEarlierLeaving(record);
+			targetTracker.takeEarlierLeaving(record);
 		},
 	});
 
-	const belief = createTargetBelief({
+	const targetTracker = createTargetBelief({
 		clock,
 		gatekeeper,
 		reporter,
 		keepLeaving: async (record) => register.persistLeaving(record),
-		onChange: tellState,
+		onChange: broadcastState,
 	});
 
 	const reportLoad = createLoadReport({
 		clock,
-		signal: life.signal,
+		signal: lifetime.signal,
 		load: () => gatekeeper.load(),
 		listeners: () => peerListener.linkCount(),
 		report(load) {
@@ -382,10 +383,10 @@
 				callerListener.listen(settings.callerAddress),
 			]);
 			self.address = peers;
-			void follower.run(life.signal);
-			void register.run(life.signal);
-			void suspectRegister.run(life.signal);
-			ticker.schedule(versionPeriod, tellVersion);
+			void follower.run(lifetime.signal);
+			void register.run(lifetime.signal);
+			void suspectRegister.run(lifetime.signal);
+			ticker.schedule(versionInterval, announceVersion);
 			reportLoad.start();
 			learning.start();
 			quotas.start(ticker);
@@ -399,8 +400,8 @@
 			return {callers, peers};
 		},
 		isReady: () => routes !== undefined && !isStopping,
-		announce: async (announcement) => belief.announce(announcement),
-		withdraw: async (withdrawal) => belief.withdraw(withdrawal),
+		announce: async (announcement) => targetTracker.announce(announcement),
+		withdraw: async (withdrawal) => targetTracker.withdraw(withdrawal),
 		readings: () => ({
 			...gatekeeper.readings(),
 			configurationVersion: follower.current()?.version ?? 0,
@@ -417,8 +418,8 @@
 		async stop() {
 			isStopping = true;
 			reporter.notice('leaving', {reason: 'planned stop'});
-			tellState();
-			clock.setTimer(lastWorkTime, () => {
+			broadcastState();
+			clock.setTimer(stoppingAcceptDuration, () => {
 				gatekeeper.stop();
 			});
 			callerListener.drain();
@@ -433,9 +434,9 @@
 	};
 
 	function abort(): void {
-		life.abort();
-		newRoutes.close();
-		suspectNews.close();
+		lifetime.abort();
+		newRouteUpdates.close();
+		suspectGossip.close();
 		callerListener.close();
 		peerListener.close();
 		directory.close();
--- a/packages/mesh/src/peer-channel.ts
+++ b/packages/mesh/src/peer-channel.ts
@@ -1,4 +1,4 @@
-/** One WebSocket between two nodes: frames out once a turn, messages in one by one. */
+/** One WebSocket between two nodes: sends one frame per event loop turn, and passes received messages on one by one. */
 import process from 'node:process';
 import type {Clock} from '@egretspoke/shared';
 import type {RawData, WebSocket} from 'ws';
@@ -7,31 +7,31 @@
 
 /** A connection that carries messages. */
 export type PeerChannel = {
-	/** Queues a message for the end of this turn; false when the peer doesn't read or the socket is closed. */
+	/** Queues a message for the end of this turn; returns false if the peer does not read or the socket is closed. */
 	send(message: PeerMessage): boolean;
-	/** Ends the connection at once. */
+	/** Closes the connection at once. */
 	close(): void;
 	isOpen(): boolean;
 };
 
-/** What happens on a channel. */
+/** Event handlers of a channel. */
 export type PeerChannelHandlers = {
 	onOpen(): void;
-	/** A message, and the milliseconds that it was held up on its way. */
+	/** Receives a message and its estimated transit delay in milliseconds. */
 	onMessage(message: PeerMessage, delay: number): void;
 	onMalformed(detail: string): void;
 	onClose(): void;
 };
 
 /**
- * Bytes that wait for a peer above which nothing more is queued. A peer that
- * stopped reading would otherwise fill this node's memory.
+ * Buffered bytes above which no more messages are queued. A peer that stopped
+ * reading would otherwise fill this node's memory.
  */
 const bufferLimit = 16 * 1024 * 1024;
-/** The largest frame; a turn's worth of bodies. */
+/** Maximum size of a frame in bytes; a frame holds all bodies of one event loop turn. */
 export const frameLimit = 256 * 1024 * 1024;
 
-/** Makes a channel of a WebSocket that is open or still connects. */
+/** Creates a channel over a WebSocket that is open or connecting. */
 export function createPeerChannel(
 	socket: WebSocket,
 	clock: Clock,
@@ -74,7 +74,7 @@
 		}
 	});
 	socket.on('close', finish);
-	// A close follows each error; the reason is the peer's or the network's.
+	// Each error is followed by a close; its cause is the peer or the network.
 	socket.on('error', (error) => {
 		if (socket.readyState === socket.OPEN) {
 			handlers.onMalformed(error.message);
@@ -92,7 +92,7 @@
 			}
 
 			if (queue.length === 0) {
-				// Not `setImmediate`, which has the loop ask the system once more for each frame.
+				// Not `setImmediate`, which costs the event loop one more system call for each frame.
 				process.nextTick(flush);
 			}
 
--- a/packages/mesh/src/peer-link.ts
+++ b/packages/mesh/src/peer-link.ts
@@ -1,13 +1,13 @@
 /**
- * This node's link to another one, which it opened itself: requests go out on
- * it and outcomes and states come back. It is opened again whenever it ends.
+ * A link that this node opens to another one: it sends requests and receives
+ * outcomes and states. It reconnects whenever the connection ends.
  *
- * A connection may go silent for good without a reset, while new ones work;
- * all requests on it would wait until their callers' time is over. So silence
- * is probed. A link whose answer is due for a moment is chosen only when there
- * is no other; one that doesn't answer for long gets no new work, while a second
- * connection is tried at once. Requests that may run twice are given back as
- * lost at that moment; the others stay, since their answers may still come.
+ * A connection may stop delivering without a reset while new ones work, and all
+ * requests on it would wait until their deadlines; silent links are therefore
+ * probed. While the answer is late, the link is chosen only if there is no
+ * other. After the timeout it gets no new requests and a second connection is
+ * opened at once. Idempotent requests then count as lost; the others stay
+ * pending, because their answers may still arrive.
  */
 import type {Clock, Timer} from '@egretspoke/shared';
 import {WebSocket} from 'ws';
@@ -24,51 +24,51 @@
 } from './peer-channel.js';
 import type {PeerMessage} from './peer-message.js';
 
-/** What a link needs. */
+/** Options of `createPeerLink`. */
 export type PeerLinkOptions = {
 	/** `ip:port`. */
 	address: string;
 	clock: Clock;
-	/** What to say first. */
+	/** Returns the messages to send first on each connection. */
 	hello: () => PeerMessage[];
-	/** Messages other than outcomes. */
+	/** Receives messages other than outcomes. */
 	onMessage: (message: PeerMessage) => void;
 	onMalformed: (detail: string) => void;
-	/** It can be used, or no longer. */
+	/** Called when the link becomes usable or unusable. */
 	onChange: (isUsable: boolean) => void;
 };
 
-/** A link that keeps itself open. */
+/** A link that reconnects automatically. */
 export type PeerLink = TargetChannel & {
 	isUsable(): boolean;
-	/** A probe has not been answered for longer than a live link takes. */
+	/** Whether the answer to a probe is late. */
 	isSilent(): boolean;
-	/** Requests without an outcome. */
+	/** Number of requests without an outcome. */
 	outstanding(): number;
 	sendMessage(message: PeerMessage): void;
-	/** Asks the other end if it has been silent, and gives up on it after too long; to be called in each period. */
+	/** Sends a probe if the peer has been silent, and abandons the connection after the answer timeout; called every `probeInterval`. */
 	probe(): void;
-	/** Tries to connect now instead of after the pause. */
+	/** Connects now instead of after the backoff. */
 	retryNow(): void;
 	close(): void;
 };
 
-/** Milliseconds between two calls of `probe`; a link with requests that was silent for half of it is asked. */
+/** Milliseconds between two calls of `probe`; a link with pending requests is probed after half of it without a message. */
 export const probeInterval = 200;
 /**
- * Milliseconds that a link without requests may be silent before it is asked:
- * most links lead to other data centres, where every byte is paid for.
+ * Milliseconds without a message after which a link without pending requests is
+ * probed: most links lead to other data centres, and that traffic is billed.
  */
-const idleSilence = 3000;
-/** Milliseconds after which an answer to a probe is late: many ways between data centres, and a usual turn of the loop. */
+const idleProbeTimeout = 3000;
+/** Milliseconds after which the answer to a probe is late: many times the latency between data centres, plus a usual turn of the event loop. */
 const lateAnswer = 100;
-/** Milliseconds for the answer to a probe: the longest way and a slow turn of the loop on the other side. */
-const answerLimit = 1000;
-/** Milliseconds to open a connection. */
-const connectTime = 1000;
-/** Milliseconds between two tries, doubled up to the most. */
-const firstPause = 100;
-const longestPause = 1000;
+/** Milliseconds to wait for the answer to a probe: the highest latency plus a slow turn of the peer's event loop. */
+const answerTimeout = 1000;
+/** Maximum milliseconds to open a connection. */
+const connectTimeout = 1000;
+/** Milliseconds between two connection attempts; doubled after each failure, up to the maximum. */
+const initialBackoff = 100;
+const maxBackoff = 1000;
 
 type Exchange = {
 	request: HandedRequest;
@@ -83,11 +83,11 @@
 	const channels = new Set<PeerChannel>();
 	let current: PeerChannel | undefined;
 	let nextExchange = 1;
-	let lastHeard = clock.now();
-	/** When the probe without an answer was sent. */
-	let askedAt: number | undefined;
+	let lastReceivedAt = clock.now();
+	/** Send time of the unanswered probe. */
+	let probedAt: number | undefined;
 	let isClosed = false;
-	let pause = firstPause;
+	let pause = initialBackoff;
 	let retryTimer: Timer | undefined;
 	let isConnecting = false;
 
@@ -100,11 +100,11 @@
 		retryTimer?.cancel();
 		const socket = new WebSocket(`ws://${address}`, {
 			perMessageDeflate: false,
-			handshakeTimeout: connectTime,
+			handshakeTimeout: connectTimeout,
 			maxPayload: frameLimit,
-			// The peers of a deployment share a private network; masking only guards browsers' proxies.
+			// The peers of a deployment share a private network; masking only protects the proxies of browsers.
 			generateMask(mask) {
-				// All zeros leave the payload as it is.
+				// An all-zero mask leaves the payload unchanged.
 				mask.fill(0);
 			},
 		});
@@ -112,9 +112,9 @@
 			onOpen() {
 				isConnecting = false;
 				current = channel;
-				lastHeard = clock.now();
-				askedAt = undefined;
-				pause = firstPause;
+				lastReceivedAt = clock.now();
+				probedAt = undefined;
+				pause = initialBackoff;
 				for (const message of options.hello()) {
 					channel.send(message);
 				}
@@ -123,8 +123,8 @@
 			},
 			onMessage(message) {
 				if (channel === current) {
-					lastHeard = clock.now();
-					askedAt = undefined;
+					lastReceivedAt = clock.now();
+					probedAt = undefined;
 				}
 
 				receive(message);
@@ -140,13 +140,13 @@
 				}
 
 				failExchanges(channel, () => true);
-				retryLater();
+				scheduleRetry();
 			},
 		});
 		channels.add(channel);
 	};
 
-	const retryLater = () => {
+	const scheduleRetry = () => {
 		if (isClosed || current) {
 			return;
 		}
@@ -154,7 +154,7 @@
 		isConnecting = false;
 		retryTimer?.cancel();
 		retryTimer = clock.setTimer(pause, connect);
-		pause = Math.min(longestPause, pause * 2);
+		pause = Math.min(maxBackoff, pause * 2);
 	};
 
 	const receive = (message: PeerMessage) => {
@@ -172,10 +172,10 @@
 
 	const failExchanges = (
 		channel: PeerChannel,
-		isConcerned: (exchange: Exchange) => boolean,
+		isAffected: (exchange: Exchange) => boolean,
 	) => {
 		for (const [id, exchange] of exchanges) {
-			if (exchange.channel === channel && isConcerned(exchange)) {
+			if (exchange.channel === channel && isAffected(exchange)) {
 				exchanges.delete(id);
 				exchange.onOutcome({kind: 'lost', reason: 'linkLost'}, undefined);
 			}
@@ -189,19 +189,20 @@
 		}
 
 		const now = clock.now();
-		if (askedAt !== undefined && now - askedAt >= answerLimit) {
-			giveUpOn(channel);
+		if (probedAt !== undefined && now - probedAt >= answerTimeout) {
+			abandon(channel);
 			return;
 		}
 
-		const mostSilence = exchanges.size > 0 ? probeInterval / 2 : idleSilence;
-		if (askedAt === undefined && now - lastHeard >= mostSilence) {
-			askedAt = now;
+		const maxSilence =
+			exchanges.size > 0 ? probeInterval / 2 : idleProbeTimeout;
+		if (probedAt === undefined && now - lastReceivedAt >= maxSilence) {
+			probedAt = now;
 			channel.send({kind: 'ping'});
 		}
 	};
 
-	const giveUpOn = (channel: PeerChannel) => {
+	const abandon = (channel: PeerChannel) => {
 		current = undefined;
 		options.onChange(false);
 		failExchanges(channel, ({request}) => request.isIdempotent);
@@ -232,7 +233,8 @@
 			};
 		},
 		isUsable: () => current !== undefined,
-		isSilent: () => askedAt !== undefined && clock.now() - askedAt > lateAnswer,
+		isSilent: () =>
+			probedAt !== undefined && clock.now() - probedAt > lateAnswer,
 		outstanding: () => exchanges.size,
 		sendMessage(message) {
 			current?.send(message);
--- a/packages/mesh/src/peer-links.ts
+++ b/packages/mesh/src/peer-links.ts
@@ -1,51 +1,51 @@
-/** The links that this node has opened, and what comes over them. */
+/** Manages the links that this node opens to other nodes. */
 import type {Clock, Random} from '@egretspoke/shared';
 import {createPeer, type Peer} from './peer.js';
 import {createPeerLink} from './peer-link.js';
 import type {Member, PeerMessage} from './peer-message.js';
 
-/** What the links need. */
+/** Options of `createPeerLinks`. */
 export type PeerLinksOptions = {
 	clock: Clock;
 	random: Random;
-	/** What to say first on each link. */
+	/** Returns the messages to send first on each connection. */
 	hello: () => PeerMessage[];
-	/** A message of a node that is still linked. */
+	/** Receives the messages of linked nodes. */
 	onMessage: (peer: Peer, message: PeerMessage) => void;
 	onMalformed: (detail: string) => void;
 	onPeer: (node: string, change: 'up' | 'down') => void;
 };
 
-/** The links. */
+/** The links to other nodes. */
 export type PeerLinks = {
-	/** The linked nodes, by name, whether their links can be used or not. */
+	/** Linked nodes by name, including those whose links are unusable. */
 	peers: ReadonlyMap<string, Peer>;
-	/** The nodes whose links can be used. */
+	/** Linked nodes whose links are usable. */
 	usable(): Peer[];
 	open(member: Member): void;
-	/** Closes the link to a node for good. */
+	/** Closes the link to a node permanently. */
 	drop(peer: Peer): void;
-	/** Closes links to others than the wanted nodes, once they have been idle and unwanted for a while. */
-	closeUndesired(wanted: ReadonlySet<string>): void;
-	/** Asks those that have been silent; to be called in each period. */
+	/** Closes links to other than the desired nodes, once they have been idle and undesired for a while. */
+	closeUndesired(desired: ReadonlySet<string>): void;
+	/** Probes silent links; called every `probeInterval`. */
 	probe(): void;
 	broadcast(message: PeerMessage): void;
-	/** Tells one linked node, drawn at random. */
+	/** Sends a message over one usable link, chosen at random. */
 	sendToRandom(message: PeerMessage): void;
 	close(): void;
 };
 
-/** Milliseconds for which a link that is not wanted any more is kept, so that a target that comes and goes costs no connections. */
-const unwantedTime = 10_000;
+/** Milliseconds for which an undesired link stays open, so that an intermittently available target causes no reconnects. */
+const undesiredTimeout = 10_000;
 
-/** Creates no links yet. */
+/** Creates a manager without links. */
 export function createPeerLinks(options: PeerLinksOptions): PeerLinks {
 	const {clock, random} = options;
 	const peers = new Map<string, Peer>();
 
 	const isLinked = (peer: Peer) => peers.get(peer.member.node) === peer;
 
-	const noteChange = (peer: Peer, isUsable: boolean) => {
+	const recordChange = (peer: Peer, isUsable: boolean) => {
 		peer.downSince = isUsable ? undefined : clock.now();
 		if (!isUsable) {
 			peer.state = undefined;
@@ -73,30 +73,30 @@
 				hello: options.hello,
 				onMalformed: options.onMalformed,
 				onMessage(message) {
-					// A link that is closed for good may still have a message under way.
+					// A permanently closed link may still have a message in flight.
 					if (isLinked(peer)) {
 						options.onMessage(peer, message);
 					}
 				},
 				onChange(isUsable) {
-					noteChange(peer, isUsable);
+					recordChange(peer, isUsable);
 				},
 			});
 			const peer = createPeer(member, link, clock.now());
 			peers.set(member.node, peer);
 		},
 		drop,
-		closeUndesired(wanted) {
+		closeUndesired(desired) {
 			const now = clock.now();
 			for (const [node, peer] of peers) {
-				if (wanted.has(node)) {
+				if (desired.has(node)) {
 					peer.undesiredSince = undefined;
 					continue;
 				}
 
 				peer.undesiredSince ??= now;
 				const isIdle = peer.link.outstanding() === 0;
-				if (isIdle && now - peer.undesiredSince >= unwantedTime) {
+				if (isIdle && now - peer.undesiredSince >= undesiredTimeout) {
 					drop(peer);
 				}
 			}
@@ -112,9 +112,11 @@
 			}
 		},
 		sendToRandom(message) {
-			const known = usable();
-			if (known.length > 0) {
-				known[random.below(known.length)]!.link.sendMessage(message);
+			const usablePeers = usable();
+			if (usablePeers.length > 0) {
+				usablePeers[random.below(usablePeers.length)]!.link.sendMessage(
+					message,
+				);
 			}
 		},
 		close() {
--- a/packages/mesh/src/peer-listener.ts
+++ b/packages/mesh/src/peer-listener.ts
@@ -1,4 +1,4 @@
-/** Takes the links of other nodes: their requests go to the gatekeeper, and changes of state are told to all. */
+/** Accepts links of other nodes: dispatches their requests to the local target and broadcasts state changes to them. */
 import {createServer} from 'node:http';
 import type {Clock} from '@egretspoke/shared';
 import {WebSocketServer} from 'ws';
@@ -11,13 +11,13 @@
 } from './peer-channel.js';
 import type {PeerMessage} from './peer-message.js';
 
-/** What the listener needs. */
+/** Options of `createPeerListener`. */
 export type PeerListenerOptions = {
 	clock: Clock;
 	dispatcher: TargetChannel;
-	/** What to answer to a hello. */
+	/** Returns the messages to send in reply to a hello. */
 	initialMessages: () => PeerMessage[];
-	/** Messages that aren't about a request. */
+	/** Receives messages that do not concern a request. */
 	onMessage: (
 		message: PeerMessage,
 		reply: (message: PeerMessage) => void,
@@ -25,13 +25,13 @@
 	onMalformed: (detail: string) => void;
 };
 
-/** The listener. */
+/** The listener for links of other nodes. */
 export type PeerListener = {
-	/** Listens on `ip:port`; gives the address that it got. */
+	/** Listens on `ip:port`; resolves with the bound address. */
 	listen(address: string): Promise<string>;
-	/** Tells every node that has a link to this one. */
+	/** Sends a message to every node that is linked to this one. */
 	broadcast(message: PeerMessage): void;
-	/** How many nodes have a link to this one. */
+	/** Number of nodes that are linked to this one. */
 	linkCount(): number;
 	close(): void;
 };
@@ -58,7 +58,7 @@
 			onMalformed: options.onMalformed,
 			onClose() {
 				channels.delete(channel);
-				// Nobody is left to take the outcomes.
+				// The outcomes can no longer be delivered.
 				for (const cancel of running.values()) {
 					cancel();
 				}
@@ -67,26 +67,26 @@
 		channels.add(channel);
 	});
 
-	/** Runs a request for the node at the other end. */
-	const runFor = (
+	/** Dispatches a request of the node at the other end. */
+	const dispatch = (
 		channel: PeerChannel,
 		running: Map<number, CancelAttempt>,
 		{exchange, request}: Extract<PeerMessage, {kind: 'request'}>,
 	) => {
-		let isOver = false;
+		let hasOutcome = false;
 		const cancel = options.dispatcher.send(request, (outcome, load) => {
-			isOver = true;
+			hasOutcome = true;
 			running.delete(exchange);
 			channel.send({kind: 'outcome', exchange, outcome, load});
 		});
-		if (!isOver) {
+		if (!hasOutcome) {
 			running.set(exchange, cancel);
 		}
 	};
 
-	const greet = (channel: PeerChannel) => {
-		for (const greeting of options.initialMessages()) {
-			channel.send(greeting);
+	const sendInitialMessages = (channel: PeerChannel) => {
+		for (const message of options.initialMessages()) {
+			channel.send(message);
 		}
 	};
 
@@ -98,7 +98,7 @@
 	) => {
 		if (message.kind === 'request') {
 			message.request.timeLeft -= delay;
-			runFor(channel, running, message);
+			dispatch(channel, running, message);
 			return;
 		}
 
@@ -114,7 +114,7 @@
 		}
 
 		if (message.kind === 'hello') {
-			greet(channel);
+			sendInitialMessages(channel);
 		}
 
 		options.onMessage(message, (reply) => {
--- a/packages/mesh/src/peer-message.ts
+++ b/packages/mesh/src/peer-message.ts
@@ -1,5 +1,5 @@
 /**
- * What nodes tell each other over a link. A frame carries all messages of one
+ * Messages between nodes, and their encoding. A frame carries all messages of one
  * turn of the event loop, so that many small messages cost one system call.
  */
 import {type Buffer} from 'node:buffer';
@@ -18,19 +18,19 @@
 	type RoutingConfiguration,
 } from './route.js';
 
-/** A node as others have to know it to reach it. */
+/** Identity and address of a node, as other nodes need them to link to it. */
 export const memberSchema = z.object({
 	node: z.string().min(1),
-	/** Where its peer listener is, `ip:port`. */
+	/** Address of its peer listener, `ip:port`. */
 	address: z.string().min(1),
 	dataCentre: z.string(),
-	/** The service beside which it runs. */
+	/** The service of its target. */
 	service: z.string(),
-	/** When this start of the node began; a later one replaces an earlier one. */
+	/** Start time of the node process; a later start replaces an earlier one. */
 	startedAt: z.number(),
 });
 
-/** What a node says of the target beside it. */
+/** State of a node's target, as the node reports it. */
 export const targetStateSchema = z.object({
 	service: z.string(),
 	targetId: z.string(),
@@ -51,14 +51,14 @@
 export type Member = z.output<typeof memberSchema>;
 export type TargetState = z.output<typeof targetStateSchema>;
 
-/** The first message of either side. */
+/** The first message that each side sends. */
 export const helloSchema = z.object({
 	kind: z.literal('hello'),
 	member: memberSchema,
 	configurationVersion: z.number(),
 });
 
-/** Members of which the sender has just heard for the first time; see `member-news.ts`. */
+/** Members that were new to the sender; see `member-gossip.ts`. */
 export const membersSchema = z.object({
 	kind: z.literal('members'),
 	members: z.array(memberSchema),
@@ -73,25 +73,25 @@
 	isLeaf: z.boolean(),
 });
 
-/** How a node and its target are; sent after the hello and on each change. */
+/** State of a node and its target; sent after the hello and on each change. */
 export const stateSchema = z.object({
 	kind: z.literal('state'),
 	isStopping: z.boolean(),
-	/** It follows the feed of configurations; see `feed-followers.ts`. */
+	/** Whether the node follows the configuration feed; see `feed-followers.ts`. */
 	isFollowing: z.boolean(),
 	/** Undefined while no target is known. */
 	target: targetStateSchema.nullish(),
 	load: loadSchema,
-	/** The service beside which the sender runs. */
+	/** The service of the sender's target. */
 	service: z.string(),
-	/** The routes that were asked for at the sender; see `inner-routes.ts`. */
+	/** Routes that were requested at the sender; see `inner-routes.ts`. */
 	routes: z.array(z.string()),
 });
 
 /**
- * What requests cause at the sender's target; see `call-profile.ts`. Apart from
- * the state, which may change many times a second while a target is reached
- * now and then, and would be several times as long with it.
+ * Run times and calls of requests at the sender's target; see `call-profile.ts`.
+ * Separate from the state, which may change many times a second while a target
+ * is intermittently reachable and would be several times as long with profiles.
  */
 export const profilesSchema = z.object({
 	kind: z.literal('profiles'),
@@ -99,26 +99,26 @@
 	profiles: z.array(routeProfileSchema),
 });
 
-/** What the sender lets in of workspaces' requests; see `quota-exchange.ts`. */
+/** Rates of workspaces' requests that the sender admits; see `quota-exchange.ts`. */
 export const quotaUseSchema = z.object({
 	kind: z.literal('quotaUse'),
 	node: z.string(),
-	/** Present when it is the sum of a data centre. */
+	/** Present if the rates are totals of a data centre. */
 	dataCentre: z.string().optional(),
-	/** The sender goes by the grants of the receiver. */
+	/** Whether the sender uses the grants of the receiver. */
 	wantsGrant: z.boolean(),
-	/** Workspace, requests a second, what of them was let in, and what nodes may let in that the sender can't hear. */
+	/** Workspace, requests per second, admitted requests per second, and the rate that nodes may admit that do not reach the sender. */
 	uses: z.array(z.tuple([z.string(), z.number(), z.number(), z.number()])),
 });
 
-/** What the sender grants. */
+/** Quota shares that the sender grants. */
 export const quotaGrantSchema = z.object({
 	kind: z.literal('quotaGrant'),
-	/** Workspace, requests a second over all nodes, and the share that may be let in. */
+	/** Workspace, requests per second over all nodes, and the share of them that may be admitted. */
 	grants: z.array(z.tuple([z.string(), z.number(), z.number()])),
 });
 
-/** Requests under which targets crashed, as far as the receiver may not know. */
+/** Requests under which targets crashed and which the receiver may not have recorded. */
 export const suspectsSchema = z.object({
 	kind: z.literal('suspects'),
 	suspects: z.array(suspectTupleSchema),
@@ -137,7 +137,7 @@
 export type QuotaGrantMessage = z.output<typeof quotaGrantSchema>;
 export type SuspectsMessage = z.output<typeof suspectsSchema>;
 
-/** Every message of a link. */
+/** Any message on a link. */
 export type PeerMessage =
 	| HelloMessage
 	| MembersMessage
@@ -147,15 +147,15 @@
 	| QuotaGrantMessage
 	| SuspectsMessage
 	| {kind: 'configuration'; configuration: RoutingConfiguration}
-	/** A version that the sender has; one who lacks it asks for it. */
+	/** Configuration version that the sender has; receivers with an older one request it. */
 	| {kind: 'version'; version: number}
 	| {kind: 'configurationWanted'}
 	| CompactMessage
 	| {kind: 'ping'}
 	| {kind: 'pong'};
 
-/** Messages that are rare and change what a node believes are checked in full. */
-const checkedKinds: Record<string, z.ZodType> = {
+/** Schemas of the messages that are rare and change a node's state; only these are validated in full. */
+const validatedKinds: Record<string, z.ZodType> = {
 	hello: helloSchema,
 	members: membersSchema,
 	state: stateSchema,
@@ -168,10 +168,10 @@
 
 const packr = new Packr({useRecords: false});
 
-/** The messages of one turn, and when they were sent by the sender's steady clock, in milliseconds. */
+/** The messages of one event loop turn, and when they were sent, in milliseconds of the sender's monotonic clock. */
 export type Frame = {sentAt: number; messages: PeerMessage[]};
 
-/** One frame of messages. */
+/** Encodes a frame. */
 export function encodeFrame({sentAt, messages}: Frame): Uint8Array {
 	return packr.pack([sentAt, messages.map((message) => toWire(message))]);
 }
@@ -180,7 +180,7 @@
 	return isCompact(message) ? toCompact(message) : message;
 }
 
-/** The messages of a frame, or why it is none. */
+/** Decodes a frame; the error describes what is malformed. */
 export function decodeFrame(bytes: Uint8Array): Result<Frame, string> {
 	let value: unknown;
 	try {
@@ -209,7 +209,7 @@
 	return ok({sentAt, messages});
 }
 
-/** The message, or what is wrong with it. */
+/** Decodes a message; returns a description if it is malformed. */
 function fromWire(item: unknown): PeerMessage | string {
 	if (Array.isArray(item)) {
 		return fromCompact(item) ?? 'malformed list';
@@ -220,7 +220,7 @@
 	}
 
 	const kind = String(item.kind);
-	const checked = checkedKinds[kind]?.safeParse(item);
+	const checked = validatedKinds[kind]?.safeParse(item);
 	return checked && !checked.success
 		? `malformed ${kind}: ${checked.error.issues[0]?.message ?? ''}`
 		: (item as PeerMessage);
--- a/packages/mesh/src/peer-updates.ts
+++ b/packages/mesh/src/peer-updates.ts
@@ -1,4 +1,4 @@
-/** News that may come on either side of a link: members, and versions of the configuration. */
+/** Handles updates that may arrive on either side of a link, such as members and configuration versions. */
 import type {Clock, Timer} from '@egretspoke/shared';
 import type {ConfigurationFollower} from './configuration-follower.js';
 import type {
@@ -11,45 +11,45 @@
 
 type Reply = (message: PeerMessage) => void;
 
-/** What the handler needs. */
+/** Options of `createUpdateHandler`. */
 export type UpdateHandlerOptions = {
 	clock: Clock;
 	follower: Pick<ConfigurationFollower, 'current' | 'offer'>;
-	/** A member said hello. */
+	/** Called with the member of each hello. */
 	onHello: (member: Member) => void;
-	/** Somebody tells what it lets in of workspaces' requests. */
+	/** Called when a node reports the workspace requests that it admits. */
 	onQuotaUse: (message: QuotaUseMessage, reply: Reply) => void;
-	/** Somebody grants shares of quotas. */
+	/** Called when a node grants shares of quotas. */
 	onQuotaGrant: (message: QuotaGrantMessage) => void;
-	/** Somebody told of requests under which targets crashed. */
+	/** Called when a node reports requests under which targets crashed. */
 	onSuspects: (message: SuspectsMessage) => void;
-	/** Somebody told of members. */
+	/** Called when a node reports members. */
 	onMembers: (members: Member[]) => void;
 };
 
-/** Takes a message, and may send one back on the same link. */
+/** Handles a message, and may reply on the same link. */
 export type UpdateHandler = (message: PeerMessage, reply: Reply) => void;
 
-/** Milliseconds after which another node is asked for a configuration. */
-const answerTime = 300;
+/** Milliseconds to wait for a configuration before it is requested from another node. */
+const answerTimeout = 300;
 
-/** Creates the handler. */
+/** Creates a handler for updates. */
 export function createUpdateHandler(
 	options: UpdateHandlerOptions,
 ): UpdateHandler {
 	const {clock, follower} = options;
-	/** Nodes that have a newer configuration, in the order in which they told so. */
-	let providers: Array<{version: number; ask: () => void}> = [];
+	/** Nodes with a newer configuration, in the order of their announcements. */
+	let providers: Array<{version: number; request: () => void}> = [];
 	let timer: Timer | undefined;
 
 	const ownVersion = () => follower.current()?.version ?? 0;
 
-	/** One peer at a time: after a start every link announces the same version, and the body is much longer than its number. */
-	const askNext = () => {
+	/** Requests from one peer at a time: after a start every link announces the same version, and the configuration is much longer than its version. */
+	const requestNext = () => {
 		providers = providers.filter(({version}) => version > ownVersion());
 		const provider = providers.shift();
-		timer = provider && clock.setTimer(answerTime, askNext);
-		provider?.ask();
+		timer = provider && clock.setTimer(answerTimeout, requestNext);
+		provider?.request();
 	};
 
 	const compareVersions = (version: number, reply: Reply) => {
@@ -59,12 +59,12 @@
 
 		providers.push({
 			version,
-			ask() {
+			request() {
 				reply({kind: 'configurationWanted'});
 			},
 		});
 		if (timer === undefined) {
-			askNext();
+			requestNext();
 		}
 	};
 
--- a/packages/mesh/src/peer.ts
+++ b/packages/mesh/src/peer.ts
@@ -1,49 +1,49 @@
-/** Another node that this one is linked to: its state, its load, and its target as one that may be chosen. */
+/** Another node that this one is linked to: its state, its load, and its target as a routing candidate. */
 import type {Clock} from '@egretspoke/shared';
 import type {Candidate} from './decisions/target-selection.js';
 import {idleLoad, type TargetChannel, type TargetLoad} from './exchange.js';
 import type {PeerLink} from './peer-link.js';
 import type {Member, StateMessage, TargetState} from './peer-message.js';
 
-/** A node that can be asked to run a request. */
+/** A linked node, to which requests can be sent. */
 export type Peer = {
 	member: Member;
 	link: PeerLink;
-	/** The instant at which the link was first wanted. */
+	/** Time at which the link was created. */
 	linkedAt: number;
-	/** The instant since which the link can't be used; undefined while it can. */
+	/** Time since which the link is unusable; undefined while it is usable. */
 	downSince: number | undefined;
-	/** The instant since which no subset wants the link; undefined while one does. */
+	/** Time since which the link is undesired; undefined while it is desired. */
 	undesiredSince: number | undefined;
 	state: StateMessage | undefined;
 	load: TargetLoad;
-	/** This node's requests without an outcome when the load was reported. */
+	/** This node's requests without an outcome at the time of the load report. */
 	outstandingAtReport: number;
-	/** Failures in a row. */
+	/** Consecutive failures. */
 	failures: number;
 	doubtfulUntil: number;
 };
 
-/** A candidate with the way to it. */
+/** A candidate with the channel to it. */
 export type TargetCandidate = Candidate & {
 	channel: TargetChannel;
-	/** Takes note of how an attempt ended. */
+	/** Records how an attempt ended. */
 	recordOutcome(
 		outcomeKind: 'answered' | 'failed',
 		load: TargetLoad | undefined,
 	): void;
 };
 
-/** Failures in a row after which a target is chosen only when there is no other. */
-const doubtAfter = 3;
-/** Milliseconds that the doubt lasts before the target is tried again. */
-const doubtTime = 1000;
-/** Milliseconds after which a new link should be open and its target known. */
-const settleTime = 3000;
-/** Milliseconds in which a node that ended is usually back. */
-const restartTime = 1000;
+/** Consecutive failures after which a target is chosen only if there is no other. */
+const doubtThreshold = 3;
+/** Milliseconds after which such a target is eligible again. */
+const doubtDuration = 1000;
+/** Milliseconds within which a new link should be open and its target known. */
+const linkSetupTimeout = 3000;
+/** Milliseconds within which a node that ended has usually restarted. */
+const restartTimeout = 1000;
 
-/** A node of which nothing has been heard. */
+/** Creates a peer without reported state or load. */
 export function createPeer(member: Member, link: PeerLink, now: number): Peer {
 	return {
 		member,
@@ -59,7 +59,7 @@
 	};
 }
 
-/** The target beside the peer, if it may be given work of the service now. */
+/** Returns the peer's target, if it accepts requests of the service now. */
 export function usableTarget(
 	{state, link}: Peer,
 	service: string,
@@ -73,18 +73,18 @@
 		: undefined;
 }
 
-/** Whether the peer counts as one that takes work of the service: it does, or is given time to. */
+/** Whether the peer counts as serving the service: it does, or still has time to connect or to restart. */
 export function isExpectedToServe(
 	peer: Peer,
 	service: string,
 	now: number,
 ): boolean {
-	if (now - peer.linkedAt < settleTime) {
+	if (now - peer.linkedAt < linkSetupTimeout) {
 		return true;
 	}
 
 	if (peer.downSince !== undefined) {
-		return now - peer.downSince < restartTime;
+		return now - peer.downSince < restartTimeout;
 	}
 
 	return (
@@ -93,7 +93,7 @@
 	);
 }
 
-/** Requests in the target or waiting for it, over what it may run at once, as far as known. */
+/** Estimates the requests that the target runs or that wait for it, divided by its slots. */
 export function estimateOccupancy(
 	{load, link, outstandingAtReport}: Peer,
 	slots: number,
@@ -101,7 +101,7 @@
 	return load.occupancy + (link.outstanding() - outstandingAtReport) / slots;
 }
 
-/** Takes a report of the target's load. */
+/** Applies a load report of the peer's target. */
 export function applyLoad(peer: Peer, load: TargetLoad | undefined): void {
 	if (load) {
 		peer.load = load;
@@ -109,7 +109,7 @@
 	}
 }
 
-/** The peer's target as one that may be chosen by a node in the data centre. */
+/** Creates a routing candidate for the peer's target, for a node in the given data centre. */
 export function createPeerCandidate(
 	peer: Peer,
 	slots: number,
@@ -121,7 +121,7 @@
 		isOwn: false,
 		isNear: peer.member.dataCentre === dataCentre,
 		occupancy: estimateOccupancy(peer, slots),
-		// A node that stops still serves for a moment, for those who have no other.
+		// A stopping node still accepts requests for a moment, for callers that have no other target.
 		isDoubtful:
 			clock.now() < peer.doubtfulUntil ||
 			(peer.state?.isStopping ?? false) ||
@@ -133,9 +133,9 @@
 			applyLoad(peer, load);
 			if (kind === 'answered') {
 				peer.failures = 0;
-			} else if (++peer.failures >= doubtAfter) {
+			} else if (++peer.failures >= doubtThreshold) {
 				peer.failures = 0;
-				peer.doubtfulUntil = clock.now() + doubtTime;
+				peer.doubtfulUntil = clock.now() + doubtDuration;
 			}
 		},
 	};
--- a/packages/mesh/src/quota-exchange.ts
+++ b/packages/mesh/src/quota-exchange.ts
@@ -1,12 +1,12 @@
 /**
- * Carries what nodes let in of workspaces' requests to the allotters, and what
- * these grant back.
+ * Exchanges the usage and the grants of workspace quotas between nodes.
  *
- * The first nodes of a data centre, in an order that all share, are its
- * allotters: the first one grants, the second one hears the same and is ready to
- * take its place. The granting one tells its sums to the allotters of the other
- * data centres. An allotter grants only while it hears from most nodes of its
- * data centre: a node that is cut off would else grant itself whole quotas.
+ * The first reachable nodes of a data centre, in an order common to all nodes,
+ * are its allocators: the first one grants, the second one receives the same
+ * reports and can replace it. The granting allocator sends its totals to the
+ * allocators of the other data centres. It grants only while a majority of the
+ * nodes of its data centre report to it, because an isolated node would
+ * otherwise grant itself whole quotas.
  */
 import type {Clock, Random} from '@egretspoke/shared';
 import {createNameRank} from './decisions/name-rank.js';
@@ -26,17 +26,17 @@
 import type {Ticker} from './ticker.js';
 import type {Workspace} from './workspace.js';
 
-/** How far the requests of a workspace may go beyond its quota within any span. */
+/** How far the requests of a workspace may exceed its quota within any window. */
 export type QuotaTolerance = {
-	/** Milliseconds of the span. */
+	/** Length of the window, in milliseconds. */
 	window: number;
-	/** The part of the quota that may come besides. */
+	/** Additional requests, as a fraction of the quota. */
 	overage: number;
-	/** Requests that may come besides. */
+	/** Additional requests, as a count. */
 	slack: number;
 };
 
-/** What the exchange needs. */
+/** Options of `createQuotaExchange`. */
 export type QuotaExchangeOptions = {
 	clock: Clock;
 	random: Random;
@@ -48,13 +48,13 @@
 	tolerance: QuotaTolerance;
 };
 
-/** The exchange. */
+/** Exchanges quota usage and grants with other nodes. */
 export type QuotaExchange = {
 	/** Whether the quota allows one more request of the workspace. */
 	allows(workspace: Workspace): boolean;
-	/** A request that was allowed goes to a target. */
+	/** Records that an allowed request is sent to a target. */
 	recordAdmitted(workspace: Workspace): void;
-	/** Milliseconds until the workspace will probably have room. */
+	/** Estimated milliseconds until the quota allows another request. */
 	retryAfterTime(workspace: Workspace): number;
 	/** Members that the exchange needs links to. */
 	pinned(): Iterable<string>;
@@ -67,18 +67,18 @@
 };
 
 /** Milliseconds between two reports. */
-const reportPeriod = 400;
-/** Nodes of each data centre that hear its reports. */
-const allotterCount = 2;
-/** Nodes to which links are kept, so that there are others when an allotter ends. */
-const pinnedNear = 4;
-const pinnedFar = 2;
+const reportInterval = 400;
+/** Nodes of each data centre that receive its reports. */
+const allocatorCount = 2;
+/** Nodes with pinned links, per data centre, so that replacements are linked when an allocator stops. */
+const pinnedLocalCount = 4;
+const pinnedRemoteCount = 2;
 
-/** The parts of the tolerance that are granted; the rest is for reports that come late. */
-const grantedOverage = 0.5;
-const grantedSlack = 0.12;
-/** The part of a burst that is spread over a span, for demand that lies above the rate for long. */
-const spreadBurst = 0.5;
+/** Fractions of the tolerance that are granted; the rest covers reports that arrive late. */
+const grantedOverageRatio = 0.5;
+const grantedSlackRatio = 0.12;
+/** Fraction of a burst that is spread over the window, for demand that stays above the rate. */
+const spreadBurstRatio = 0.5;
 const millisecondsPerSecond = 1000;
 
 const rankOf = createNameRank('quota');
@@ -89,7 +89,7 @@
 ): QuotaExchange {
 	const {clock, self, directory} = options;
 	const startedAt = clock.now();
-	const allotment = createQuotaAllotment(startedAt);
+	const allocation = createQuotaAllotment(startedAt);
 	const share = createQuotaShare({
 		nodes: () =>
 			options.isMembershipKnown()
@@ -99,14 +99,14 @@
 		startedAt,
 	});
 
-	/** What counts is a span: a part of the burst is granted all the while in place of at once. */
+	/** The limit applies to a window, so a fraction of the burst is granted continuously instead of at once. */
 	const toQuota = ({name, rate, burst}: Workspace): Quota => {
 		const {window, overage, slack} = options.tolerance;
 		const seconds = window / millisecondsPerSecond;
-		const granted = slack * grantedSlack;
-		const spread = burst * spreadBurst;
+		const granted = slack * grantedSlackRatio;
+		const spread = burst * spreadBurstRatio;
 		const perSecond =
-			(rate + spread / seconds) * (1 + overage * grantedOverage) +
+			(rate + spread / seconds) * (1 + overage * grantedOverageRatio) +
 			granted / seconds;
 		return {
 			workspace: name,
@@ -120,24 +120,27 @@
 			.workspaces()
 			.flatMap((workspace) => (workspace.rate > 0 ? [toQuota(workspace)] : []));
 
-	/** The members of a data centre in the order in which they are allotters. */
-	const rank = (members: readonly Member[], dataCentre: string): string[] =>
+	/** Sorts the nodes of a data centre by their precedence as allocators. */
+	const rankNodes = (
+		members: readonly Member[],
+		dataCentre: string,
+	): string[] =>
 		members
 			.filter((member) => member.dataCentre === dataCentre)
 			.map(({node}) => node)
 			.toSorted((left, right) => rankOf(left) - rankOf(right));
 
-	/** As of the last look, since members change seldom and are asked for with each message. */
-	let near: string[] = [self.node];
-	const lookNear = () => {
-		near = rank([...directory().members(), self], self.dataCentre);
+	/** Cached until the next exchange, because members change rarely but are needed for each message. */
+	let localNodes: string[] = [self.node];
+	const updateLocalNodes = () => {
+		localNodes = rankNodes([...directory().members(), self], self.dataCentre);
 	};
 
-	const isReached = (node: string) =>
+	const isSelfOrLinked = (node: string) =>
 		node === self.node || directory().isLinked(node);
 
-	const listAllotters = (ranked: string[]): string[] =>
-		ranked.filter((node) => isReached(node)).slice(0, allotterCount);
+	const listAllocators = (ranked: string[]): string[] =>
+		ranked.filter((node) => isSelfOrLinked(node)).slice(0, allocatorCount);
 
 	const otherDataCentres = (): Set<string> => {
 		const names = new Set(
@@ -151,13 +154,13 @@
 
 	const mayGrant = (now: number): boolean =>
 		options.isMembershipKnown() &&
-		allotment.isSettled(now) &&
-		allotment.reporting(now) * 2 > near.length;
+		allocation.isSettled(now) &&
+		allocation.reporting(now) * 2 > localNodes.length;
 
-	const reportTo = (allotter: string, uses: QuotaUse[], isFirst: boolean) => {
+	const reportTo = (allocator: string, uses: QuotaUse[], isFirst: boolean) => {
 		const now = clock.now();
-		if (allotter !== self.node) {
-			directory().tell(allotter, {
+		if (allocator !== self.node) {
+			directory().tell(allocator, {
 				kind: 'quotaUse',
 				node: self.node,
 				wantsGrant: isFirst,
@@ -166,18 +169,18 @@
 			return;
 		}
 
-		allotment.report({kind: 'node', name: self.node}, uses, now);
+		allocation.report({kind: 'node', name: self.node}, uses, now);
 		if (isFirst && mayGrant(now)) {
-			share.grant(allotment.grants(uses.map(({workspace}) => workspace)), now);
+			share.grant(allocation.grants(uses.map(({workspace}) => workspace)), now);
 		}
 	};
 
-	const tellOthers = () => {
-		const uses = toTuples(allotment.sums(clock.now()));
+	const sendTotals = () => {
+		const uses = toTuples(allocation.sums(clock.now()));
 		const members = directory().members();
 		for (const dataCentre of otherDataCentres()) {
-			for (const allotter of listAllotters(rank(members, dataCentre))) {
-				directory().tell(allotter, {
+			for (const allocator of listAllocators(rankNodes(members, dataCentre))) {
+				directory().tell(allocator, {
 					kind: 'quotaUse',
 					node: self.node,
 					dataCentre: self.dataCentre,
@@ -194,17 +197,17 @@
 			return;
 		}
 
-		lookNear();
+		updateLocalNodes();
 		const now = clock.now();
-		allotment.update(quotas, now);
+		allocation.update(quotas, now);
 		const uses = share.uses(now);
-		const allotters = listAllotters(near);
-		for (const [index, allotter] of allotters.entries()) {
-			reportTo(allotter, uses, index === 0);
+		const allocators = listAllocators(localNodes);
+		for (const [index, allocator] of allocators.entries()) {
+			reportTo(allocator, uses, index === 0);
 		}
 
-		if (allotters[0] === self.node && mayGrant(now)) {
-			tellOthers();
+		if (allocators[0] === self.node && mayGrant(now)) {
+			sendTotals();
 		}
 	};
 
@@ -219,12 +222,14 @@
 				return [];
 			}
 
-			lookNear();
-			const pinned = near.slice(0, pinnedNear);
-			if (near.slice(0, allotterCount).includes(self.node)) {
+			updateLocalNodes();
+			const pinned = localNodes.slice(0, pinnedLocalCount);
+			if (localNodes.slice(0, allocatorCount).includes(self.node)) {
 				const members = directory().members();
 				for (const dataCentre of otherDataCentres()) {
-					pinned.push(...rank(members, dataCentre).slice(0, pinnedFar));
+					pinned.push(
+						...rankNodes(members, dataCentre).slice(0, pinnedRemoteCount),
+					);
 				}
 			}
 
@@ -232,7 +237,7 @@
 		},
 		receiveUse({node, dataCentre, wantsGrant, uses}, reply) {
 			const now = clock.now();
-			allotment.report(
+			allocation.report(
 				dataCentre === undefined
 					? {kind: 'node', name: node}
 					: {kind: 'dataCentre', name: dataCentre},
@@ -245,29 +250,29 @@
 				now,
 			);
 			if (wantsGrant && mayGrant(now)) {
-				const grants = allotment.grants(uses.map(([workspace]) => workspace));
+				const grants = allocation.grants(uses.map(([workspace]) => workspace));
 				reply({
 					kind: 'quotaGrant',
-					grants: grants.map(({workspace, asked, share: part}) => [
+					grants: grants.map(({workspace, asked, share: grantedShare}) => [
 						workspace,
 						asked,
-						part,
+						grantedShare,
 					]),
 				});
 			}
 		},
 		receiveGrant({grants}) {
 			share.grant(
-				grants.map(([workspace, asked, part]) => ({
+				grants.map(([workspace, asked, grantedShare]) => ({
 					workspace,
 					asked,
-					share: part,
+					share: grantedShare,
 				})),
 				clock.now(),
 			);
 		},
 		start(ticker) {
-			ticker.schedule(reportPeriod, exchange);
+			ticker.schedule(reportInterval, exchange);
 		},
 	};
 }
--- a/packages/mesh/src/row-store.ts
+++ b/packages/mesh/src/row-store.ts
@@ -1,45 +1,45 @@
 /**
- * The store that outlives the nodes, as the product uses it: rows with
- * versions, writes under a condition, and a feed of changes.
+ * Interface of the store that outlives the nodes: rows with versions,
+ * conditional writes, and a feed of changes.
  */
 import type {Result} from 'neverthrow';
 
-/** Where a row is. */
+/** Table and key of a row. */
 export type RowAddress = {table: string; key: string};
 
 /** A row as it was read. */
 export type StoredRow = RowAddress & {
 	value: string;
-	/** Grows with each change of the row. */
+	/** Increases with each change of the row. */
 	version: number;
-	/** The feed tells so that the row is gone. */
+	/** Set by the feed when the row was removed. */
 	isRemoved: boolean;
 };
 
-/** Rows as of one moment, and the newest version of the store then. */
+/** Rows at one point in time, with the newest version of the store at that point. */
 export type StoreSnapshot = {rows: StoredRow[]; version: number};
 
-/** Why a call has no result. */
+/** Why a call failed. */
 export type StoreFailure =
-	/** Nothing was done. */
+	/** The call was not executed. */
 	| {kind: 'unavailable'; detail: string}
-	/** A write may have been done, or may still be done while its condition holds. */
+	/** A write may have been executed, or may still be executed while its condition holds. */
 	| {kind: 'unknown'; detail: string}
-	/** The row has another version than expected; it is undefined when there is none. */
+	/** The row has another version than expected; `current` is undefined if there is no row. */
 	| {kind: 'conflict'; current: StoredRow | undefined}
-	/** The feed no longer has what came after that version. */
+	/** The feed no longer has the changes after that version. */
 	| {kind: 'forgotten'};
 
-/** The store. Calls resolve always, within a time of their own. */
+/** The store. Calls never reject; each resolves within its own timeout. */
 export type RowStore = {
 	read(table: string): Promise<Result<StoreSnapshot, StoreFailure>>;
-	/** Changes after a version, as soon as there is one or after `wait` milliseconds. */
+	/** Resolves with the changes after a version, as soon as there is one or after `wait` milliseconds. */
 	changes(
 		table: string,
 		after: number,
 		wait: number,
 	): Promise<Result<StoreSnapshot, StoreFailure>>;
-	/** Writes if the row has the expected version; 0 means that there is none. Gives the new version. */
+	/** Writes if the row has the expected version; 0 means that there is no row. Resolves with the new version. */
 	write(
 		row: RowAddress & {value: string},
 		expectedVersion: number,
--- a/packages/mesh/src/suspect-register.ts
+++ b/packages/mesh/src/suspect-register.ts
@@ -1,9 +1,9 @@
 /**
- * What must outlast the nodes of the requests that crash targets.
+ * Persists the requests that crash targets, so that they outlast the nodes.
  *
- * Each node keeps one row with the suspects that it noted itself, so that a
- * data centre that is cut off from the others, and a fleet that starts anew,
- * know them all the same. A few nodes follow the table and tell the rest.
+ * Each node writes one row with the suspects that it recorded itself, so that a
+ * data centre that is cut off from the others, and a fleet that restarts, still
+ * have them. A few nodes follow the table and notify the others.
  */
 import {
 	createNotedSuspects,
@@ -17,7 +17,7 @@
 import type {RowStore, StoredRow} from './row-store.js';
 import {followTable} from './table-feed.js';
 
-/** What a register needs. */
+/** Options of `createSuspectRegister`. */
 export type SuspectRegisterOptions = {
 	store: RowStore;
 	/** The key of this node's row. */
@@ -25,35 +25,35 @@
 	clock: Clock;
 	random: Random;
 	reporter: MeshReporter;
-	/** Whether this node is to follow the table, or leaves it to peers. */
+	/** Whether this node should follow the table instead of relying on peers. */
 	isFollower: () => boolean;
-	/** Suspects that other nodes noted, or an earlier start of this one. */
+	/** Receives suspects that other nodes, or an earlier start of this one, recorded. */
 	onSuspects: (suspects: Suspect[]) => void;
 };
 
-/** The register. */
+/** The register of suspects. */
 export type SuspectRegister = {
-	/** Keeps suspects beyond the life of this process. */
+	/** Persists suspects, so that they outlast this process. */
 	record(suspects: readonly Suspect[]): void;
-	/** Writes what was noted, and follows what others note, until the signal aborts. */
+	/** Writes the recorded suspects, and follows those of other nodes, until the signal aborts. */
 	run(signal: AbortSignal): Promise<void>;
 };
 
 const table = 'suspects';
-/** Milliseconds after its start in which a node hears from its peers whether it is to follow. */
+/** Milliseconds after its start within which a node receives from its peers whether it should follow. */
 const startDelay = 1000;
 
-/** Creates a register. */
+/** Creates a register that has not started. */
 export function createSuspectRegister(
 	options: SuspectRegisterOptions,
 ): SuspectRegister {
 	const {store, node, clock, random, reporter} = options;
-	const noted = createNotedSuspects(clock);
+	const recorded = createNotedSuspects(clock);
 	let version = 0;
 
 	const writeOnce = async (): Promise<boolean> => {
 		const result = await store.write(
-			{table, key: node, value: noted.toText()},
+			{table, key: node, value: recorded.toText()},
 			version,
 		);
 		if (result.isOk()) {
@@ -64,7 +64,7 @@
 		if (result.error.kind === 'conflict') {
 			const {current} = result.error;
 			version = current?.version ?? 0;
-			noted.keepEarlier(current ? decode(current) : []);
+			recorded.keepEarlier(current ? decode(current) : []);
 		}
 
 		return false;
@@ -79,9 +79,9 @@
 		return suspects ?? [];
 	};
 
-	const waitForTurn = async (signal: AbortSignal) => {
+	const waitUntilSelected = async (signal: AbortSignal) => {
 		while (!signal.aborted && !options.isFollower()) {
-			// eslint-disable-next-line no-await-in-loop -- one look a period.
+			// eslint-disable-next-line no-await-in-loop -- one check per interval.
 			await sleep(clock, followerCheckInterval, signal);
 		}
 	};
@@ -90,7 +90,7 @@
 
 	return {
 		record(suspects) {
-			noted.note(suspects);
+			recorded.note(suspects);
 			writer.request();
 		},
 		async run(signal) {
@@ -102,12 +102,12 @@
 					table,
 					clock,
 					random,
-					waitUntilFollower: waitForTurn,
+					waitUntilFollower: waitUntilSelected,
 					onRows(rows) {
 						const present = rows.filter(({isRemoved}) => !isRemoved);
 						options.onSuspects(present.flatMap((row) => decode(row)));
 					},
-					// The follower of configurations tells of a lost store.
+					// The configuration follower reports an unreachable store.
 					onResult: () => undefined,
 				},
 				signal,
--- a/packages/mesh/src/suspects.ts
+++ b/packages/mesh/src/suspects.ts
@@ -1,4 +1,4 @@
-/** The quarantine of a mesh node: by requests as they are handed over, over links, gossip and the store. */
+/** The quarantine of a mesh node: looks up requests by their parts, and shares suspects over links, gossip and the store. */
 import {
 	createQuarantine,
 	expiryPeriod,
@@ -18,36 +18,39 @@
 import type {SuspectRegister} from './suspect-register.js';
 import type {Ticker} from './ticker.js';
 
-/** What the quarantine needs. */
+/** Options of `createSuspects`. */
 export type SuspectsOptions = {
 	clock: Clock;
 	headerNames: Pick<HeaderNames, 'workspace'>;
 	reporter: MeshReporter;
-	/** Tells every linked node. */
+	/** Sends a message to every linked node. */
 	broadcast: (message: PeerMessage) => void;
 	gossip: () => Pick<Gossip<Suspect>, 'add'>;
 	register: () => Pick<SuspectRegister, 'record'>;
 };
 
-/** The parts of a request by which it is known. */
-type KnownRequest = Pick<HandedRequest, 'method' | 'path' | 'headers' | 'body'>;
+/** The parts of a request that identify it. */
+type IdentifiableRequest = Pick<
+	HandedRequest,
+	'method' | 'path' | 'headers' | 'body'
+>;
 
-/** The quarantine. */
+/** The quarantine of the node. */
 export type Suspects = Pick<Quarantine, 'noteCrash'> & {
-	/** What is known of the request; undefined when no target crashed under it. */
-	lookUp(request: KnownRequest): Suspect | undefined;
-	/** The target beside this node answered the request. */
-	recordAnswer(request: KnownRequest): void;
-	/** Takes what a peer told. */
+	/** Returns the crashes recorded for the request; undefined if no target crashed under it. */
+	lookUp(request: IdentifiableRequest): Suspect | undefined;
+	/** Records that the local target answered the request. */
+	recordAnswer(request: IdentifiableRequest): void;
+	/** Applies suspects received from a peer. */
 	receive(message: SuspectsMessage): void;
-	/** Takes what lies in the store. */
+	/** Applies suspects read from the store. */
 	applyStored(suspects: Suspect[]): void;
-	/** What a newly linked node has to know; nothing when there is nothing. */
+	/** Returns the messages for a newly linked node; empty if there are no suspects. */
 	initialMessages(): SuspectsMessage[];
 	start(ticker: Ticker): void;
 };
 
-/** Creates the quarantine of a node that has heard of nothing. */
+/** Creates a quarantine without suspects. */
 export function createSuspects(options: SuspectsOptions): Suspects {
 	const {headerNames, reporter} = options;
 	const quarantine = createQuarantine({
@@ -94,7 +97,7 @@
 	};
 }
 
-/** The message that tells of suspects. */
+/** Creates a message that reports suspects. */
 export function toMessage(suspects: readonly Suspect[]): SuspectsMessage {
 	return {
 		kind: 'suspects',
--- a/packages/mesh/src/table-feed.ts
+++ b/packages/mesh/src/table-feed.ts
@@ -1,56 +1,55 @@
-/** Reads a table of the store, and follows its feed from there on. */
+/** Reads a table of the store and then follows its feed of changes. */
 import {sleep, type Clock, type Random} from '@egretspoke/shared';
 import type {RowStore, StoredRow, StoreFailure} from './row-store.js';
 
-/** What following needs. */
+/** Options of `followTable`. */
 export type TableFeedOptions = {
 	store: Pick<RowStore, 'read' | 'changes'>;
 	table: string;
 	clock: Clock;
 	random: Random;
-	/** Resolves when this node is to make the next call. */
+	/** Resolves when this node should make the next call. */
 	waitUntilFollower: (signal: AbortSignal) => Promise<void>;
 	onRows: (rows: StoredRow[]) => void;
-	/** A call has ended; before its rows are told. */
+	/** Called after each call, before its rows are passed on. */
 	onResult: (failure: StoreFailure | undefined) => void;
 };
 
 /**
- * Milliseconds that a call of the feed waits for a change. A feed whose
- * connection has gone silent is noticed only when this is over, so each node
- * draws its own, and the calls of the fleet are spread: one of them is always
- * young, and its node tells the others.
+ * Bounds of the milliseconds that a call of the feed waits for a change. A feed
+ * whose connection has stalled is detected only after this wait. Each node draws
+ * a random wait to spread the calls of the fleet, so that there is always a
+ * recent call, whose node notifies the others.
  */
-const shortestWait = 6000;
-const longestWait = 10_000;
-/** Milliseconds after a failed call before the next, and their most. */
-const firstPause = 200;
-const longestPause = 1000;
+const minWait = 6000;
+const maxWait = 10_000;
+/** Milliseconds between a failed call and the next one; doubled up to the maximum. */
+const initialBackoff = 200;
+const maxBackoff = 1000;
 
-/** Follows until the signal aborts. */
+/** Follows the table until the signal aborts. */
 export async function followTable(
 	{store, table, clock, random, ...options}: TableFeedOptions,
 	signal: AbortSignal,
 ): Promise<void> {
 	let position: number | undefined;
-	let pause = firstPause;
+	let pause = initialBackoff;
 	for (;;) {
-		// eslint-disable-next-line no-await-in-loop -- calls only while it is this node's turn.
+		// eslint-disable-next-line no-await-in-loop -- calls only while this node is selected to follow.
 		await options.waitUntilFollower(signal);
 		if (signal.aborted) {
 			return;
 		}
 
-		const wait =
-			shortestWait + random.fraction() * (longestWait - shortestWait);
-		// eslint-disable-next-line no-await-in-loop -- each call starts where the last one ended.
+		const wait = minWait + random.fraction() * (maxWait - minWait);
+		// eslint-disable-next-line no-await-in-loop -- each call continues from the version of the previous one.
 		const result = await (position === undefined
 			? store.read(table)
 			: store.changes(table, position, wait));
 		options.onResult(result.isErr() ? result.error : undefined);
 		if (result.isOk()) {
 			position = result.value.version;
-			pause = firstPause;
+			pause = initialBackoff;
 			options.onRows(result.value.rows);
 			continue;
 		}
@@ -60,8 +59,8 @@
 			continue;
 		}
 
-		// eslint-disable-next-line no-await-in-loop -- a pause between two tries.
+		// eslint-disable-next-line no-await-in-loop -- backoff between two attempts.
 		await sleep(clock, pause * (0.5 + random.fraction()), signal);
-		pause = Math.min(longestPause, pause * 2);
+		pause = Math.min(maxBackoff, pause * 2);
 	}
 }
--- a/packages/mesh/src/throttled-updates.ts
+++ b/packages/mesh/src/throttled-updates.ts
@@ -1,24 +1,24 @@
-/** Coalesces changes that come faster than peers need them, with a growing pause between two announcements. */
+/** Coalesces changes that are more frequent than peers need, with a growing interval between two updates. */
 import type {Clock, Timer} from '@egretspoke/shared';
 
-/** How news are paced. */
+/** Options of `createThrottledUpdates`. */
 export type ThrottledUpdatesOptions = {
 	clock: Clock;
-	/** Milliseconds between the first two announcements; doubled after each one, up to the longest. */
+	/** Milliseconds between the first two updates; doubled after each one, up to the maximum. */
 	initialInterval: number;
 	maxInterval: number;
-	/** Announces the current value. */
+	/** Sends the current value. */
 	send: () => void;
 };
 
-/** The news. */
+/** Throttled updates of one value. */
 export type ThrottledUpdates = {
-	/** Something has changed. */
+	/** Schedules an update after a change; sends it at once if the interval is over. */
 	schedule(): void;
 	close(): void;
 };
 
-/** Creates news of which nothing was told. */
+/** Creates updates of which none has been sent. */
 export function createThrottledUpdates(
 	options: ThrottledUpdatesOptions,
 ): ThrottledUpdates {
@@ -27,12 +27,12 @@
 	let hasChanged = false;
 	let timer: Timer | undefined;
 
-	const tellNow = () => {
+	const sendNow = () => {
 		hasChanged = false;
 		timer = clock.setTimer(pause, () => {
 			timer = undefined;
 			if (hasChanged) {
-				tellNow();
+				sendNow();
 			}
 		});
 		pause = Math.min(longestPause, pause * 2);
@@ -43,7 +43,7 @@
 		schedule() {
 			hasChanged = true;
 			if (!timer) {
-				tellNow();
+				sendNow();
 			}
 		},
 		close() {
--- a/packages/mesh/src/ticker.ts
+++ b/packages/mesh/src/ticker.ts
@@ -1,15 +1,15 @@
 /**
- * All that a node does periodically, on one timer.
+ * Runs all periodic work of a node on one timer.
  *
- * A wake-up of a process with little work costs more than what it then does;
- * with a timer for each period a node would wake some fifteen times a second
- * without a single request.
+ * Waking up a mostly idle process costs more than the work that it then does.
+ * With a timer for each period, a node without any requests would wake up about
+ * fifteen times a second.
  */
 import type {Clock} from '@egretspoke/shared';
 
 /** Schedules periodic work. */
 export type Ticker = {
-	/** Acts after each period, in milliseconds; it is rounded up to whole ticks. */
+	/** Calls `act` once per period, in milliseconds; the period is rounded up to whole ticks. */
 	schedule(period: number, act: () => void): void;
 };
 
