--- a/packages/mesh/__tests__/member-gossip.spec.ts
+++ b/packages/mesh/__tests__/member-gossip.spec.ts
@@ -18,13 +18,13 @@
 	};
 }
 
-function createLink(tell: (message: PeerMessage) => void): PeerLink {
+function createLink(sendMessage: (message: PeerMessage) => void): PeerLink {
 	return {
 		send: () => () => undefined,
 		isUsable: () => true,
 		isSilent: () => false,
 		outstanding: () => 0,
-		sendMessage: tell,
+		sendMessage,
 		retryNow: () => undefined,
 		probe: () => undefined,
 		close: () => undefined,
--- a/packages/mesh/__tests__/member-register.spec.ts
+++ b/packages/mesh/__tests__/member-register.spec.ts
@@ -77,7 +77,7 @@
 	});
 
 	describe('when a node restarts', () => {
-		it('leaves the row unchanged in the same place', async () => {
+		it('leaves the row unchanged if its address is the same', async () => {
 			// Guards against needless writes in a rolling restart: the rows hold the
 			// same values as before, and each call of the store is billed.
 			const store = createRowStoreStandIn();
@@ -98,7 +98,7 @@
 			await node.end();
 		});
 
-		it('restores the leaving that it acknowledged before', async () => {
+		it('restores the leaving target that it acknowledged before', async () => {
 			// The node is killed right after it acknowledged that its target leaves.
 			const store = createRowStoreStandIn();
 			const first = await start(store, self);
@@ -109,9 +109,9 @@
 			await node.end();
 		});
 
-		it('still stores the next leaving', async () => {
-			// Guards against a lost leaving: the row was not written at the start, and a
-			// write with the version of an earlier start would be rejected.
+		it('still persists the next leaving target', async () => {
+			// Guards against losing the record of the leaving target: the row was not written
+			// at the start, and a write with the version of an earlier start would be rejected.
 			const store = createRowStoreStandIn();
 			await startAndEnd(store);
 			const node = await start(store, {...self, startedAt: 200});
--- a/packages/mesh/__tests__/throttled-updates.spec.ts
+++ b/packages/mesh/__tests__/throttled-updates.spec.ts
@@ -3,13 +3,13 @@
 import {createThrottledUpdates} from '../src/throttled-updates.js';
 
 describe('throttled updates', () => {
-	function createUpdates(longestPause: number) {
+	function createUpdates(maxInterval: number) {
 		const clock = createVirtualClock();
 		const sentAt: number[] = [];
 		const updates = createThrottledUpdates({
 			clock,
 			initialInterval: 1000,
-			maxInterval: longestPause,
+			maxInterval,
 			send() {
 				sentAt.push(clock.now());
 			},
--- a/packages/mesh/src/configuration-follower.ts
+++ b/packages/mesh/src/configuration-follower.ts
@@ -109,7 +109,7 @@
 		}
 	};
 
-	/** After a restart, peers have the configuration and send it in less time than two requests apply. */
+	/** After a restart, peers have the configuration and send it in less time than two requests need. */
 	const waitForPeers = async (signal: AbortSignal) => {
 		const firstApplied = new Promise<void>((resolve) => {
 			onFirstApplied = resolve;
@@ -129,7 +129,7 @@
 		}
 	};
 
-	const waitUntilSelected = async (signal: AbortSignal) => {
+	const waitUntilFollower = async (signal: AbortSignal) => {
 		while (!signal.aborted && !options.isFollower()) {
 			isSelected = false;
 			notifyFollowingChange();
@@ -155,7 +155,7 @@
 					table: row.table,
 					clock,
 					random,
-					waitUntilFollower: waitUntilSelected,
+					waitUntilFollower,
 					onRows: applyRows,
 					onResult(failure) {
 						recordStoreResult(failure);
--- a/packages/mesh/src/known-members.ts
+++ b/packages/mesh/src/known-members.ts
@@ -22,9 +22,9 @@
 export type MemberChange =
 	/** Already known, or an older start of a known member. */
 	| 'known'
-	/** A later start of a known member in the same place. */
+	/** A later start of a known member, with the same address, data centre and service. */
 	| 'restarted'
-	/** Not known, or not known in this place. */
+	/** Not known, or known with another address, data centre or service. */
 	| 'new';
 
 /** Creates an empty set of members for the node `self`. */
--- a/packages/mesh/src/member-register.ts
+++ b/packages/mesh/src/member-register.ts
@@ -16,7 +16,7 @@
 import type {RowStore, StoredRow} from './row-store.js';
 import {announcementSchema, type TargetRecord} from './target-record.js';
 
-/** Content of a row: the member, and the last leaving of a target that it acknowledged. */
+/** Content of a row: the member, and the last leaving target that it acknowledged. */
 const rowSchema = z.object({
 	member: memberSchema,
 	leaving: announcementSchema.extend({hasLeft: z.boolean()}).optional(),
@@ -41,8 +41,8 @@
 	/** Writes this node's row and reads the others until the signal aborts. */
 	run(signal: AbortSignal): Promise<void>;
 	/**
-	 * Persists the leaving of the local target, so that it outlasts this process.
-	 * Resolves when it is stored, or after a timeout.
+	 * Persists that the local target is leaving, so that a later start of this node
+	 * has the information. Resolves when it is stored, or after a timeout.
 	 */
 	persistLeaving(record: TargetRecord): Promise<void>;
 };
@@ -78,7 +78,7 @@
 
 	const writeOnce = async (): Promise<boolean> => {
 		for (let tries = 0; tries < 3; tries++) {
-			// A conflict can return the leaving that an earlier start acknowledged; it is written again.
+			// A conflict can return a leaving target that an earlier start acknowledged; it is written again.
 			const value: RowValue = {member: self, ...(leaving && {leaving})};
 			// eslint-disable-next-line no-await-in-loop -- a conflict returns the version for the next attempt.
 			const result = await store.write(
@@ -97,7 +97,7 @@
 
 			const hasLeaving = leaving !== undefined;
 			const stored = applyOwnRow(result.error.current);
-			// After a restart in the same place the row already holds what other nodes need.
+			// If only the start time has changed, the row already holds what other nodes need.
 			if (!hasLeaving && stored && isSamePlace(stored.member, self)) {
 				isWritten = true;
 				return true;
--- a/packages/mesh/src/peer-link.ts
+++ b/packages/mesh/src/peer-link.ts
@@ -4,9 +4,9 @@
  *
  * A connection may stop delivering without a reset while new ones work, and all
  * requests on it would wait until their deadlines; silent links are therefore
- * probed. While the answer is late, the link is chosen only if there is no
- * other. After the timeout it gets no new requests and a second connection is
- * opened at once. Idempotent requests then count as lost; the others stay
+ * probed. While the answer to a probe is late, the link is chosen only if there
+ * is no other. After the timeout it gets no new requests and a second connection
+ * is opened at once. Idempotent requests then count as lost; the others stay
  * pending, because their answers may still arrive.
  */
 import type {Clock, Timer} from '@egretspoke/shared';
--- a/packages/mesh/src/suspect-register.ts
+++ b/packages/mesh/src/suspect-register.ts
@@ -79,7 +79,7 @@
 		return suspects ?? [];
 	};
 
-	const waitUntilSelected = async (signal: AbortSignal) => {
+	const waitUntilFollower = async (signal: AbortSignal) => {
 		while (!signal.aborted && !options.isFollower()) {
 			// eslint-disable-next-line no-await-in-loop -- one check per interval.
 			await sleep(clock, followerCheckInterval, signal);
@@ -102,7 +102,7 @@
 					table,
 					clock,
 					random,
-					waitUntilFollower: waitUntilSelected,
+					waitUntilFollower,
 					onRows(rows) {
 						const present = rows.filter(({isRemoved}) => !isRemoved);
 						options.onSuspects(present.flatMap((row) => decode(row)));
--- a/packages/mesh/src/throttled-updates.ts
+++ b/packages/mesh/src/throttled-updates.ts
@@ -22,7 +22,7 @@
 export function createThrottledUpdates(
 	options: ThrottledUpdatesOptions,
 ): ThrottledUpdates {
-	const {clock, maxInterval: longestPause, send: tell} = options;
+	const {clock, maxInterval, send} = options;
 	let pause = options.initialInterval;
 	let hasChanged = false;
 	let timer: Timer | undefined;
@@ -35,8 +35,8 @@
 				sendNow();
 			}
 		});
-		pause = Math.min(longestPause, pause * 2);
-		tell();
+		pause = Math.min(maxInterval, pause * 2);
+		send();
 	};
 
 	return {
