--- a/packages/mesh/src/peer-message.ts
+++ b/packages/mesh/src/peer-message.ts
@@ -107,7 +107,7 @@
 	dataCentre: z.string().optional(),
 	/** Whether the sender uses the grants of the receiver. */
 	wantsGrant: z.boolean(),
-	/** Workspace, requests per second, admitted requests per second, and the rate that nodes may admit that do not reach the sender. */
+	/** Workspace, requests per second, admitted requests per second, and the rate reserved for nodes that do not reach the sender. */
 	uses: z.array(z.tuple([z.string(), z.number(), z.number(), z.number()])),
 });
 
