--- a/packages/mesh/src/directory.ts
+++ b/packages/mesh/src/directory.ts
@@ -8,10 +8,10 @@
 import type {Clock, Random} from '@egretspoke/shared';
 import type {FeedPeer} from './decisions/feed-followers.js';
 import {createKnownMembers} from './known-members.js';
-import {createMemberNews} from './member-news.js';
+import {createMemberGossip} from './member-gossip.js';
 import {
 	createPeerCandidate,
-	takeLoad,
+	applyLoad,
 	usableTarget,
 	type Peer,
 	type TargetCandidate,
@@ -22,10 +22,10 @@
 	ProfilesMessage,
 	StateMessage,
 } from './peer-message.js';
-import {probePeriod} from './peer-link.js';
+import {probeInterval} from './peer-link.js';
 import {createPeerLinks} from './peer-links.js';
 import type {Ticker} from './ticker.js';
-import {createWantedMembers} from './wanted-members.js';
+import {createDesiredLinks} from './desired-links.js';
 
 export type {TargetCandidate} from './peer.js';
 
@@ -103,14 +103,14 @@
 		onPeer: options.onPeer,
 	});
 	const {peers} = links;
-	const wantedMembers = createWantedMembers({
+	const wantedMembers = createDesiredLinks({
 		clock,
 		self,
 		known,
 		peers,
 		pinned: options.pinned,
 	});
-	const memberGossip = createMemberNews({
+	const memberGossip = createMemberGossip({
 		clock,
 		random,
 		self,
@@ -142,10 +142,10 @@
 		state(peer, message) {
 			peer.state = message;
 			options.onState(message);
-			takeLoad(peer, message.load);
+			applyLoad(peer, message.load);
 		},
 		load(peer, {load}) {
-			takeLoad(peer, load);
+			applyLoad(peer, load);
 		},
 		hello(peer, message) {
 			if (checkIdentity(peer, message.member)) {
@@ -156,7 +156,7 @@
 
 	const deliverMessage = (peer: Peer, message: PeerMessage) => {
 		options.onMessage(message, (reply) => {
-			peer.link.tell(reply);
+			peer.link.sendMessage(reply);
 		});
 	};
 
@@ -199,20 +199,20 @@
 			}
 		}
 
-		links.keep(wanted);
+		links.closeUndesired(wanted);
 	};
 
 	ticker.schedule(subsetRefreshInterval, refresh);
-	ticker.schedule(probePeriod, links.probe);
+	ticker.schedule(probeInterval, links.probe);
 	return {
 		addMembers,
 		recordHello(member) {
 			addMembers([member], 'peer');
-			wantedMembers.noteAlive(member.node);
+			wantedMembers.recordAlive(member.node);
 			peers.get(member.node)?.link.retryNow();
 		},
 		candidates(service, tried) {
-			if (wantedMembers.noteAsked(service)) {
+			if (wantedMembers.recordRequest(service)) {
 				refresh();
 			}
 
@@ -251,13 +251,13 @@
 		members: known.all,
 		isLinked: (node) => peers.get(node)?.link.isUsable() ?? false,
 		send(node, message) {
-			peers.get(node)?.link.tell(message);
+			peers.get(node)?.link.sendMessage(message);
 		},
-		sendToRandomPeer: links.tellOne,
+		sendToRandomPeer: links.sendToRandom,
 		size: () => known.size() + 1,
 		connected: () => links.usable().length,
 		linked: links.usable,
-		broadcast: links.tellAll,
+		broadcast: links.broadcast,
 		close() {
 			memberGossip.close();
 			links.close();
--- a/packages/mesh/src/entry.ts
+++ b/packages/mesh/src/entry.ts
@@ -17,7 +17,7 @@
 /** Dependencies of an entry. */
 export type EntryOptions = ForwardingOptions & {
 	routes: () => RouteTable | undefined;
-	quotas: Pick<QuotaExchange, 'allows' | 'noteAdmitted' | 'returnTime'>;
+	quotas: Pick<QuotaExchange, 'allows' | 'recordAdmitted' | 'retryAfterTime'>;
 	headerNames: Pick<HeaderNames, 'workspace'>;
 };
 
@@ -82,7 +82,7 @@
 
 	const onAdmitted = () => {
 		if (workspace) {
-			options.quotas.noteAdmitted(workspace);
+			options.quotas.recordAdmitted(workspace);
 		}
 	};
 
@@ -122,7 +122,7 @@
 	}
 
 	if (!quotas.allows(workspace)) {
-		const retryAfter = quotas.returnTime(workspace);
+		const retryAfter = quotas.retryAfterTime(workspace);
 		return refuse(route.name, 429, 'quotaExceeded', retryAfter);
 	}
 
--- a/packages/mesh/src/learning.ts
+++ b/packages/mesh/src/learning.ts
@@ -1,7 +1,7 @@
 /** Updates the call profile of the target and the route pressure periodically, and announces changed profiles. */
 import type {Clock} from '@egretspoke/shared';
 import {profilePeriod, type CallProfile} from './decisions/call-profile.js';
-import {createPacedNews} from './paced-news.js';
+import {createThrottledUpdates} from './throttled-updates.js';
 import {pressureRefreshInterval, type RoutePressure} from './route-pressure.js';
 import type {Ticker} from './ticker.js';
 
@@ -28,11 +28,11 @@
 	start(): void;
 } {
 	const {clock, ticker, signal, profile, pressure} = options;
-	const announcements = createPacedNews({
+	const announcements = createThrottledUpdates({
 		clock,
-		firstPause: firstAnnouncementDelay,
-		longestPause: maxAnnouncementInterval,
-		tell: options.announce,
+		initialInterval: firstAnnouncementDelay,
+		maxInterval: maxAnnouncementInterval,
+		send: options.announce,
 	});
 	signal.addEventListener('abort', () => {
 		announcements.close();
@@ -42,7 +42,7 @@
 			ticker.schedule(profilePeriod, () => {
 				if (profile.update()) {
 					options.onProfileChange();
-					announcements.note();
+					announcements.schedule();
 				}
 			});
 			ticker.schedule(pressureRefreshInterval, () => {
--- a/packages/mesh/src/local-candidate.ts
+++ b/packages/mesh/src/local-candidate.ts
@@ -20,6 +20,6 @@
 		runTime: load.runTime,
 		isDoubtful,
 		channel: dispatcher,
-		note: () => undefined,
+		recordOutcome: () => undefined,
 	};
 }
--- a/packages/mesh/src/request-forwarding.ts
+++ b/packages/mesh/src/request-forwarding.ts
@@ -248,7 +248,10 @@
 			createForwardedRequest(timeLeft, knownCrashes),
 			(outcome, load) => {
 				isEnded = true;
-				target.note(outcome.kind === 'answered' ? 'answered' : 'failed', load);
+				target.recordOutcome(
+					outcome.kind === 'answered' ? 'answered' : 'failed',
+					load,
+				);
 				if (!isOver) {
 					handlers[outcome.kind](outcome as never, target.node);
 				}
--- a/packages/mesh/src/suspects.ts
+++ b/packages/mesh/src/suspects.ts
@@ -1,4 +1,4 @@
-/** The quarantine of a mesh node: by requests as they are handed over, over links, gossip and the store. */
+/** The quarantine of a mesh node: looks up requests by their parts, and shares suspects over links, gossip and the store. */
 import {
 	createQuarantine,
 	expiryPeriod,
@@ -18,45 +18,45 @@
 import type {SuspectRegister} from './suspect-register.js';
 import type {Ticker} from './ticker.js';
 
-/** What the quarantine needs. */
+/** Options of `createSuspects`. */
 export type SuspectsOptions = {
 	clock: Clock;
 	headerNames: Pick<HeaderNames, 'workspace'>;
 	reporter: MeshReporter;
-	/** Tells every linked node. */
-	tellAll: (message: PeerMessage) => void;
+	/** Sends a message to every linked node. */
+	broadcast: (message: PeerMessage) => void;
 	gossip: () => Pick<Gossip<Suspect>, 'add'>;
-	register: () => Pick<SuspectRegister, 'note'>;
+	register: () => Pick<SuspectRegister, 'record'>;
 };
 
-/** The parts of a request by which it is known. */
-type KnownRequest = Pick<
+/** The parts of a request that identify it. */
+type IdentifiableRequest = Pick<
 	ForwardedRequest,
 	'method' | 'path' | 'headers' | 'body'
 >;
 
-/** The quarantine. */
+/** The quarantine of the node. */
 export type Suspects = Pick<Quarantine, 'noteCrash'> & {
-	/** What is known of the request; undefined when no target crashed under it. */
-	lookUp(request: KnownRequest): Suspect | undefined;
-	/** The target beside this node answered the request. */
-	noteAnswer(request: KnownRequest): void;
-	/** Takes what a peer told. */
-	take(message: SuspectsMessage): void;
-	/** Takes what lies in the store. */
-	takeStored(suspects: Suspect[]): void;
-	/** What a newly linked node has to know; nothing when there is nothing. */
-	greeting(): SuspectsMessage[];
+	/** Returns the crashes recorded for the request; undefined if no target crashed under it. */
+	lookUp(request: IdentifiableRequest): Suspect | undefined;
+	/** Records that the local target answered the request. */
+	recordAnswer(request: IdentifiableRequest): void;
+	/** Applies suspects received from a peer. */
+	receive(message: SuspectsMessage): void;
+	/** Applies suspects read from the store. */
+	applyStored(suspects: Suspect[]): void;
+	/** Returns the messages for a newly linked node; empty if there are no suspects. */
+	initialMessages(): SuspectsMessage[];
 	start(ticker: Ticker): void;
 };
 
-/** Creates the quarantine of a node that has heard of nothing. */
+/** Creates a quarantine without suspects. */
 export function createSuspects(options: SuspectsOptions): Suspects {
 	const {headerNames, reporter} = options;
 	const quarantine = createQuarantine({
 		clock: options.clock,
 		spread(suspects) {
-			options.tellAll(toMessage(suspects));
+			options.broadcast(toMessage(suspects));
 		},
 		passOn(suspects) {
 			for (const suspect of suspects) {
@@ -64,7 +64,7 @@
 			}
 		},
 		keep(suspects) {
-			options.register().note(suspects);
+			options.register().record(suspects);
 		},
 		onQuarantined({identity, crashes}) {
 			reporter.notice('requestQuarantined', {identity, crashes});
@@ -77,16 +77,16 @@
 			quarantine.lookUp(request.path, request.body?.byteLength ?? 0, () =>
 				partsOf(request, headerNames),
 			),
-		noteAnswer(request) {
+		recordAnswer(request) {
 			quarantine.noteAnswer(request.path, request.body?.byteLength ?? 0, () =>
 				partsOf(request, headerNames),
 			);
 		},
-		take({suspects}) {
+		receive({suspects}) {
 			quarantine.take(suspects.map((tuple) => toSuspect(tuple)));
 		},
-		takeStored: quarantine.take,
-		greeting() {
+		applyStored: quarantine.take,
+		initialMessages() {
 			const suspects = quarantine.list();
 			return suspects.length === 0 ? [] : [toMessage(suspects)];
 		},
@@ -97,7 +97,7 @@
 	};
 }
 
-/** The message that tells of suspects. */
+/** Creates a message that reports suspects. */
 export function toMessage(suspects: readonly Suspect[]): SuspectsMessage {
 	return {
 		kind: 'suspects',
--- a/packages/mesh/src/target-dispatcher.ts
+++ b/packages/mesh/src/target-dispatcher.ts
@@ -58,7 +58,7 @@
 	/** Limit on repeated offers to a service, over all nodes. */
 	retryBudget: OfferBudgetOptions;
 	/** Registry of requests during which targets crashed. */
-	suspects: Pick<Suspects, 'lookUp' | 'noteCrash' | 'noteAnswer'>;
+	suspects: Pick<Suspects, 'lookUp' | 'noteCrash' | 'recordAnswer'>;
 	/** Called with false when the target is unreachable or was replaced, with true once it answers again. */
 	onReachable: (isReachable: boolean) => void;
 };
@@ -311,7 +311,7 @@
 		offers.recordOffer(outcome, now);
 		if (outcome.kind === 'answered') {
 			access.recordAnswer();
-			suspects.noteAnswer(request);
+			suspects.recordAnswer(request);
 		}
 	};
 
