--- a/packages/experiment/src/chain/chain-model.ts
+++ b/packages/experiment/src/chain/chain-model.ts
@@ -9,12 +9,12 @@
  * that nodes run.
  */
 import {
-	createGate,
+	createTargetAdmission,
 	createShedLevel,
 	orderLoad,
 	shareRefused,
 	shedPeriod,
-	type Gate,
+	type TargetAdmission,
 	type ShedLevel,
 } from '@egretspoke/mesh';
 import {
@@ -66,7 +66,7 @@
 };
 
 type Target = {
-	gate: Gate<Call>;
+	gate: TargetAdmission<Call>;
 	level: ShedLevel;
 	speed: number;
 };
@@ -179,7 +179,7 @@
 
 function createTargets({targets, slots}: ChainScenario): Target[] {
 	return Array.from({length: targets}, (_, index) => ({
-		gate: createGate<Call>(slots),
+		gate: createTargetAdmission<Call>(slots),
 		level: createShedLevel(),
 		speed: speeds[index % speeds.length]!,
 	}));
--- a/packages/mesh/__tests__/call-profile.spec.ts
+++ b/packages/mesh/__tests__/call-profile.spec.ts
@@ -13,10 +13,10 @@
 		route: string,
 		calls: Record<string, number>,
 	) => {
-		profile.noteRun(route);
+		profile.recordRun(route);
 		for (const [called, count] of Object.entries(calls)) {
 			for (let call = 0; call < count; call++) {
-				profile.noteCall(called);
+				profile.recordCall(called);
 			}
 		}
 	};
@@ -76,15 +76,15 @@
 			);
 			waiting += 4 * lookups - made;
 			for (let run = 0; run < lookups; run++) {
-				profile.noteRun('lookup');
+				profile.recordRun('lookup');
 			}
 
 			for (let run = 0; run < downloads; run++) {
-				profile.noteRun('download');
+				profile.recordRun('download');
 			}
 
 			for (let call = 0; call < made; call++) {
-				profile.noteCall('state');
+				profile.recordCall('state');
 			}
 
 			profile.update();
@@ -124,7 +124,7 @@
 	it('keeps to a bounded number of routes', () => {
 		const profile = createCallProfile();
 		for (let route = 0; route < 100; route++) {
-			profile.noteRun(`route-${route}`);
+			profile.recordRun(`route-${route}`);
 		}
 
 		profile.update();
@@ -140,7 +140,7 @@
 			// come later. Told to call nobody, they get the repeats of a leaf and no
 			// level goes up to them, and trees of calls are begun that can't end.
 			const profile = createCallProfile();
-			profile.noteRun('lookup');
+			profile.recordRun('lookup');
 			profile.update();
 			expect(isLeaf(profile, 'lookup')).to.equal(false);
 		});
@@ -153,10 +153,10 @@
 				const random = createRandom(5);
 				for (let second = 0; second < 10; second++) {
 					for (let run = 0; run < 40; run++) {
-						profile.noteRun('lookup');
+						profile.recordRun('lookup');
 						const calls = random.fraction() < failing ? 0 : 4;
 						for (let call = 0; call < calls; call++) {
-							profile.noteCall('state');
+							profile.recordCall('state');
 						}
 					}
 
--- a/packages/mesh/__tests__/failure-share.spec.ts
+++ b/packages/mesh/__tests__/failure-share.spec.ts
@@ -5,7 +5,7 @@
 	it('follows the answers, and sinks while none is tried', () => {
 		const share = createFailureShare();
 		for (let index = 0; index < 100; index++) {
-			share.note(index % 2 === 0, 10_000 + index * 10);
+			share.record(index % 2 === 0, 10_000 + index * 10);
 		}
 
 		expect(share.value(11_000)).to.be.within(0.4, 0.6);
--- a/packages/mesh/__tests__/inner-routes.spec.ts
+++ b/packages/mesh/__tests__/inner-routes.spec.ts
@@ -4,9 +4,9 @@
 describe('the knowledge of inner routes', () => {
 	const createKnown = () => {
 		const routes = createInnerRoutes('orders');
-		routes.take('history', ['buy', 'look', 'ledger']);
-		routes.take('media', ['buy', 'look', 'queue']);
-		routes.take('board', ['buy', 'look']);
+		routes.addPeerRoutes('history', ['buy', 'look', 'ledger']);
+		routes.addPeerRoutes('media', ['buy', 'look', 'queue']);
+		routes.addPeerRoutes('board', ['buy', 'look']);
 		return routes;
 	};
 
@@ -20,15 +20,15 @@
 	it('says nothing of routes that nobody asked for, or while few services are known', () => {
 		expect(createKnown().isInner('new')).to.equal(false);
 		const routes = createInnerRoutes('orders');
-		routes.take('history', ['ledger']);
+		routes.addPeerRoutes('history', ['ledger']);
 		expect(routes.isInner('ledger')).to.equal(false);
 	});
 
 	it('has a route told once, and not for single requests', () => {
 		const routes = createKnown();
-		const told = Array.from({length: 10}, () => routes.note('photos'));
+		const told = Array.from({length: 10}, () => routes.record('photos'));
 		expect(told.filter(Boolean)).to.have.length(1);
 		expect(told[0]).to.equal(false);
-		expect(routes.asked()).to.deep.equal(['photos']);
+		expect(routes.requestedRoutes()).to.deep.equal(['photos']);
 	});
 });
--- a/packages/mesh/__tests__/offer-budget.spec.ts
+++ b/packages/mesh/__tests__/offer-budget.spec.ts
@@ -2,8 +2,8 @@
 import fc from 'fast-check';
 import {
 	createOfferBudget,
-	partWithCalls,
-	partWithoutCalls,
+	nonLeafOfferShare,
+	leafOfferShare,
 } from '../src/decisions/offer-budget.js';
 
 const options = {ratio: 0.2, window: 10_000};
@@ -54,7 +54,7 @@
 								const at = index * 1000 + (request * 1000) / count;
 								budgets[target]!.countArrival(0, at);
 								arrivals.push({at, isRepeat: false});
-								while (budgets[target]!.take(partWithoutCalls, at)) {
+								while (budgets[target]!.take(leafOfferShare, at)) {
 									arrivals.push({at, isRepeat: true});
 								}
 							}
@@ -74,7 +74,7 @@
 			let taken = 0;
 			for (let at = 0; at < 20_000; at += 10) {
 				budget.countArrival(repeatShare, at);
-				taken += budget.take(partWithoutCalls, at) ? 1 : 0;
+				taken += budget.take(leafOfferShare, at) ? 1 : 0;
 			}
 
 			return taken;
@@ -88,7 +88,7 @@
 		// Three services in a row turn away half of what they get. Each repeat of
 		// an upper one repeats the calls below it; the lowest gets them all.
 		const budgets = [0, 1, 2].map(() => createOfferBudget(options));
-		const parts = [partWithCalls, partWithCalls, partWithoutCalls];
+		const parts = [nonLeafOfferShare, nonLeafOfferShare, leafOfferShare];
 		let share = 0;
 		let repeatsOfLowest = 0;
 		const requests = 3000;
@@ -115,7 +115,7 @@
 		}
 
 		let taken = 0;
-		while (budget.take(partWithoutCalls, 10_000)) {
+		while (budget.take(leafOfferShare, 10_000)) {
 			taken++;
 		}
 
--- a/packages/mesh/__tests__/peer-subset.spec.ts
+++ b/packages/mesh/__tests__/peer-subset.spec.ts
@@ -1,10 +1,10 @@
 import {expect} from 'chai';
 import {createNameRank} from '../src/decisions/name-rank.js';
 import {
-	askedSize,
+	activeSubsetSize,
 	chooseSubset,
 	createAdaptiveSize,
-	idleSize,
+	idleSubsetSize,
 	rankMembers,
 	type SubsetMember,
 } from '../src/decisions/peer-subset.js';
@@ -34,7 +34,7 @@
 		}));
 	return chooseSubset(
 		rankMembers(createNameRank(self.node), seen),
-		askedSize,
+		activeSubsetSize,
 		({node}) => !down.has(node),
 	).map(({node}) => node);
 }
@@ -47,7 +47,9 @@
 
 			it('is bounded, and complete where the fleet is smaller', () => {
 				for (const subset of subsets) {
-					expect(subset.length).to.equal(Math.min(askedSize.total, size - 1));
+					expect(subset.length).to.equal(
+						Math.min(activeSubsetSize.total, size - 1),
+					);
 				}
 			});
 
@@ -89,7 +91,9 @@
 				const working = subsetOf(self, fleet, down).filter(
 					(node) => !down.has(node),
 				);
-				expect(working.length).to.be.at.least(askedSize.total - askedSize.near);
+				expect(working.length).to.be.at.least(
+					activeSubsetSize.total - activeSubsetSize.near,
+				);
 			}
 		});
 
@@ -105,7 +109,7 @@
 			const all = new Set(fleet.map(({node}) => node));
 			const subset = subsetOf(fleet[0]!, fleet, all);
 			expect(subset.length).to.be.at.most(
-				3 * (askedSize.near + askedSize.total),
+				3 * (activeSubsetSize.near + activeSubsetSize.total),
 			);
 		});
 
@@ -127,33 +131,35 @@
 	it('is small while nobody asks for the service', () => {
 		const size = createAdaptiveSize();
 		expect(
-			size.update({isAsked: false, isNearFull: true, isFull: true}),
-		).to.deep.equal(idleSize);
+			size.update({isRequested: false, isNearFull: true, isFull: true}),
+		).to.deep.equal(idleSubsetSize);
 	});
 
 	it('grows by near members first, to a bound, while those that are linked are full', () => {
 		const size = createAdaptiveSize();
-		const state = {isAsked: true, isNearFull: true, isFull: false};
+		const state = {isRequested: true, isNearFull: true, isFull: false};
 		const first = size.update(state);
-		expect(first.near).to.be.above(askedSize.near);
-		expect(first.total - first.near).to.equal(askedSize.total - askedSize.near);
+		expect(first.near).to.be.above(activeSubsetSize.near);
+		expect(first.total - first.near).to.equal(
+			activeSubsetSize.total - activeSubsetSize.near,
+		);
 		let last = first;
 		for (let period = 0; period < 100; period++) {
 			last = size.update({...state, isFull: true});
 		}
 
-		expect(last.total).to.be.at.most(3 * askedSize.total);
+		expect(last.total).to.be.at.most(3 * activeSubsetSize.total);
 	});
 
 	it('shrinks again once there is room', () => {
 		const size = createAdaptiveSize();
-		size.update({isAsked: true, isNearFull: true, isFull: true});
+		size.update({isRequested: true, isNearFull: true, isFull: true});
 		for (let period = 0; period < 10; period++) {
-			size.update({isAsked: true, isNearFull: false, isFull: false});
+			size.update({isRequested: true, isNearFull: false, isFull: false});
 		}
 
 		expect(
-			size.update({isAsked: true, isNearFull: false, isFull: false}),
-		).to.deep.equal(askedSize);
+			size.update({isRequested: true, isNearFull: false, isFull: false}),
+		).to.deep.equal(activeSubsetSize);
 	});
 });
--- a/packages/mesh/__tests__/quota-exchange.spec.ts
+++ b/packages/mesh/__tests__/quota-exchange.spec.ts
@@ -1,6 +1,6 @@
 import {expect} from 'chai';
 import type {Member} from '../src/peer-message.js';
-import {createQuotaFleet, mostWithin} from './quota-fleet.js';
+import {createQuotaFleet, maxWithin} from './quota-fleet.js';
 
 /** Milliseconds of the span in which a quota must hold, and what may go beyond it. */
 const span = 5000;
@@ -46,7 +46,7 @@
 						const fleet = createFleet();
 						fleet.ask(rate * 0.6, 8000, weightOf);
 						fleet.ask(rate * 5, 18_000, weightOf);
-						expect(mostWithin(fleet.requests, span)).to.be.at.most(
+						expect(maxWithin(fleet.requests, span)).to.be.at.most(
 							mostAllowed(rate),
 						);
 						const last = fleet.requests.filter(({at}) => at > 13_000);
@@ -75,7 +75,7 @@
 						);
 						fleet.ask(rate * 0.6, 10_000, weightOf);
 						fleet.ask(rate * 4, 20_000, weightOf);
-						expect(mostWithin(fleet.requests, span)).to.be.at.most(
+						expect(maxWithin(fleet.requests, span)).to.be.at.most(
 							mostAllowed(rate),
 						);
 					});
@@ -87,7 +87,7 @@
 						fleet.cut((from, to) => isAlone(from) || isAlone(to));
 						fleet.ask(rate * 0.6, 10_000, weightOf);
 						fleet.ask(rate * 4, 20_000, weightOf);
-						expect(mostWithin(fleet.requests, span)).to.be.at.most(
+						expect(maxWithin(fleet.requests, span)).to.be.at.most(
 							mostAllowed(rate),
 						);
 					});
@@ -101,7 +101,7 @@
 								(to.dataCentre === 'centre-2'),
 						);
 						fleet.ask(rate * 4, 20_000, weightOf);
-						expect(mostWithin(fleet.requests, span)).to.be.at.most(
+						expect(maxWithin(fleet.requests, span)).to.be.at.most(
 							mostAllowed(rate),
 						);
 					});
@@ -112,7 +112,7 @@
 						fleet.ask(rate * 4, 9000, weightOf);
 						fleet.restart(() => true, 1000);
 						fleet.ask(rate * 4, 18_000, weightOf);
-						expect(mostWithin(fleet.requests, span)).to.be.at.most(
+						expect(maxWithin(fleet.requests, span)).to.be.at.most(
 							mostAllowed(rate),
 						);
 					});
@@ -126,7 +126,7 @@
 						}
 
 						fleet.ask(rate * 4, 18_000, weightOf);
-						expect(mostWithin(fleet.requests, span)).to.be.at.most(
+						expect(maxWithin(fleet.requests, span)).to.be.at.most(
 							mostAllowed(rate),
 						);
 					});
@@ -146,6 +146,6 @@
 		fleet.limit(workspaceOf(50));
 		fleet.ask(200, 22_000, () => 1);
 		const later = fleet.requests.filter(({at}) => at > 8000 + span);
-		expect(mostWithin(later, span)).to.be.at.most(mostAllowed(50));
+		expect(maxWithin(later, span)).to.be.at.most(mostAllowed(50));
 	});
 });
--- a/packages/mesh/__tests__/quota-fleet.ts
+++ b/packages/mesh/__tests__/quota-fleet.ts
@@ -170,7 +170,7 @@
 }
 
 /** The most requests that were let in within any span of the length. */
-export function mostWithin(requests: PlayedRequest[], span: number): number {
+export function maxWithin(requests: PlayedRequest[], span: number): number {
 	const instants = requests
 		.filter(({isAdmitted}) => isAdmitted)
 		.map(({at}) => at);
--- a/packages/mesh/__tests__/run-time.spec.ts
+++ b/packages/mesh/__tests__/run-time.spec.ts
@@ -8,7 +8,7 @@
 		start: number,
 	) => {
 		for (let run = 0; run < 50; run++) {
-			time.note(duration, start + run * 20);
+			time.record(duration, start + run * 20);
 		}
 	};
 
@@ -16,7 +16,7 @@
 		const time = createRunTime();
 		playRuns(time, 50, 0);
 		for (let run = 0; run < 10; run++) {
-			time.note(600, 1000 + run * 50);
+			time.record(600, 1000 + run * 50);
 		}
 
 		expect(time.value(1500)).to.be.above(300);
@@ -35,7 +35,7 @@
 		// would leave the target avoided for a minute.
 		const time = createRunTime();
 		playRuns(time, 600, 0);
-		time.note(50, 6000);
+		time.record(50, 6000);
 		expect(time.value(6000)).to.equal(50);
 	});
 });
--- a/packages/mesh/__tests__/shed-order.spec.ts
+++ b/packages/mesh/__tests__/shed-order.spec.ts
@@ -100,7 +100,7 @@
 	/** Pages call records twice, records call states four times; commands are states' own, downloads call nobody. */
 	const createKnown = () => {
 		const graph = createCallGraph();
-		graph.take('node-1', 'panel', [
+		graph.setProfiles('node-1', 'panel', [
 			{
 				route: 'page',
 				runTime: 300,
@@ -108,7 +108,7 @@
 				isLeaf: false,
 			},
 		]);
-		graph.take('node-2', 'archive', [
+		graph.setProfiles('node-2', 'archive', [
 			{
 				route: 'record',
 				runTime: 120,
@@ -118,7 +118,7 @@
 			{route: 'download', runTime: 70, calls: [], isLeaf: true},
 		]);
 		for (const node of ['node-3', 'node-4']) {
-			graph.take(node, 'device', [
+			graph.setProfiles(node, 'device', [
 				{
 					route: 'state',
 					runTime: node === 'node-3' ? 20 : 24,
@@ -168,9 +168,9 @@
 		const graph = createCallGraph();
 		const told = {route: 'download', runTime: 70, calls: []};
 		expect(graph.mayCall('download', 'archive')).to.equal(true);
-		graph.take('node-1', 'archive', [{...told, isLeaf: false}]);
+		graph.setProfiles('node-1', 'archive', [{...told, isLeaf: false}]);
 		expect(graph.mayCall('download', 'archive')).to.equal(true);
-		graph.take('node-2', 'archive', [{...told, isLeaf: true}]);
+		graph.setProfiles('node-2', 'archive', [{...told, isLeaf: true}]);
 		expect(graph.mayCall('download', 'archive')).to.equal(false);
 	});
 
@@ -185,7 +185,7 @@
 			called: string[],
 			isLeaf: boolean,
 		) => {
-			graph.take(service, service, [
+			graph.setProfiles(service, service, [
 				{
 					route,
 					runTime: 10,
@@ -208,7 +208,7 @@
 
 	it('ends at a cycle of calls', () => {
 		const graph = createCallGraph();
-		graph.take('node', 'service', [
+		graph.setProfiles('node', 'service', [
 			{
 				route: 'again',
 				runTime: 10,
@@ -228,7 +228,7 @@
 		const names = Array.from({length: 12}, (_, index) => `route-${index}`);
 		const calls = names.map((route) => ({route, count: 0.1}));
 		for (const service of ['one', 'two', 'three', 'four']) {
-			graph.take(
+			graph.setProfiles(
 				service,
 				service,
 				names.map((route) => ({route, runTime: 10, calls, isLeaf: false})),
--- a/packages/mesh/__tests__/gate.spec.ts
+++ b/packages/mesh/__tests__/target-admission.spec.ts
@@ -1,13 +1,24 @@
 import {expect} from 'chai';
-import {createGate, type GateRequest} from '../src/decisions/gate.js';
+import {
+	createTargetAdmission,
+	type AdmissionRequest,
+} from '../src/decisions/target-admission.js';
 import {egretspokePolicy} from '../src/decisions/mesh-policy.js';
 
 describe('a gate', () => {
-	const inner: GateRequest = {isNearItsEnd: true, priority: 2, patience: 300};
-	const fresh: GateRequest = {isNearItsEnd: false, priority: 0, patience: 300};
+	const inner: AdmissionRequest = {
+		isNearItsEnd: true,
+		priority: 2,
+		patience: 300,
+	};
+	const fresh: AdmissionRequest = {
+		isNearItsEnd: false,
+		priority: 0,
+		patience: 300,
+	};
 
 	const createFullGate = () => {
-		const gate = createGate<string>(egretspokePolicy.limitOf(21));
+		const gate = createTargetAdmission<string>(egretspokePolicy.limitOf(21));
 		for (let index = 0; index < 19; index++) {
 			gate.offer(fresh, `running ${index}`, 0);
 		}
--- a/packages/mesh/__tests__/own-calls.spec.ts
+++ b/packages/mesh/__tests__/target-calls.spec.ts
@@ -1,29 +1,29 @@
 import {expect} from 'chai';
-import {createOwnCalls} from '../src/decisions/own-calls.js';
+import {createTargetCalls} from '../src/decisions/target-calls.js';
 
 describe('the calls of a target', () => {
 	it('are taken to be made until much was seen without one', () => {
-		const calls = createOwnCalls();
-		expect(calls.any()).to.equal(true);
+		const calls = createTargetCalls();
+		expect(calls.makesCalls()).to.equal(true);
 		for (let run = 0; run < 100; run++) {
-			calls.noteRun(0);
+			calls.recordRun(0);
 		}
 
-		expect(calls.any()).to.equal(false);
+		expect(calls.makesCalls()).to.equal(false);
 		for (let call = 0; call < 10; call++) {
-			calls.noteCall();
+			calls.recordCall();
 		}
 
-		expect(calls.any()).to.equal(true);
+		expect(calls.makesCalls()).to.equal(true);
 	});
 
 	it('pass on how much of the work is a repeat', () => {
 		// Half of the work of a service in the middle was offered twice. Its calls
 		// are repeats too; unless the service below is told so, it spends the whole
 		// bound once more and gets more than it can bear.
-		const calls = createOwnCalls();
+		const calls = createTargetCalls();
 		for (let run = 0; run < 400; run++) {
-			calls.noteRun(run % 2);
+			calls.recordRun(run % 2);
 		}
 
 		expect(calls.repeatShare()).to.be.within(0.45, 0.55);
--- a/packages/mesh/__tests__/target-selection.spec.ts
+++ b/packages/mesh/__tests__/target-selection.spec.ts
@@ -9,7 +9,7 @@
 	const random = createRandom(7);
 	const candidate = (changed: Partial<Candidate>): Candidate => ({
 		node: 'a',
-		isOwn: false,
+		isLocal: false,
 		isNear: true,
 		occupancy: 0.5,
 		failureShare: 0,
@@ -40,7 +40,7 @@
 	});
 
 	it('takes the target beside its own node while that has room', () => {
-		const own = candidate({node: 'own', isOwn: true});
+		const own = candidate({node: 'own', isLocal: true});
 		const other = candidate({node: 'other', occupancy: 0});
 		expect(count([own, other], 'own')).to.equal(300);
 		expect(count([{...own, occupancy: 0.9}, other], 'other')).to.equal(300);
@@ -127,7 +127,7 @@
 		it('leaves the own target when that one is slow', () => {
 			const own = candidate({
 				node: 'own',
-				isOwn: true,
+				isLocal: true,
 				occupancy: 0.3,
 				runTime: 1200,
 			});
--- a/packages/mesh/src/decisions/call-graph.ts
+++ b/packages/mesh/src/decisions/call-graph.ts
@@ -7,12 +7,12 @@
  * target does (`call-profile.ts`) and tells the others; here the parts are put
  * together.
  */
-import {leastCalls, type RouteProfile} from './call-profile.js';
+import {minCalls, type RouteProfile} from './call-profile.js';
 
 /** The call graph as far as nodes have told of it. */
 export type CallGraph = {
 	/** Takes what a node beside the service has learnt. */
-	take(node: string, service: string, profiles: RouteProfile[]): void;
+	setProfiles(node: string, service: string, profiles: RouteProfile[]): void;
 	/** Whether requests of the route at the service may make calls; so it is taken until the opposite is certain. */
 	mayCall(route: string, service: string): boolean;
 	/** Whether it is known which calls requests of the route at the service cause, down to those that make none. */
@@ -110,7 +110,7 @@
 		}
 
 		met.add(route);
-		if (sum(profile.calls.values()) < leastCalls) {
+		if (sum(profile.calls.values()) < minCalls) {
 			return profile.isLeaf;
 		}
 
@@ -120,7 +120,7 @@
 	};
 
 	return {
-		take(node, service, profiles) {
+		setProfiles(node, service, profiles) {
 			const nodes = told.get(service) ?? new Map<string, RouteProfile[]>();
 			nodes.set(node, profiles);
 			told.set(service, nodes);
@@ -129,7 +129,7 @@
 		isKnown: (route, service) => isKnownFrom(route, service, new Set()),
 		mayCall(route, service) {
 			const profile = routesAt(service).get(route);
-			return !profile?.isLeaf || sum(profile.calls.values()) >= leastCalls;
+			return !profile?.isLeaf || sum(profile.calls.values()) >= minCalls;
 		},
 		costsOf: createCosts,
 	};
--- a/packages/mesh/src/decisions/call-profile.ts
+++ b/packages/mesh/src/decisions/call-profile.ts
@@ -31,16 +31,16 @@
 
 /** The profiles at one target. */
 export type CallProfile = {
-	noteRun(route: string): void;
-	noteRunTime(route: string, duration: number): void;
-	noteCall(route: string): void;
+	recordRun(route: string): void;
+	recordRunTime(route: string, duration: number): void;
+	recordCall(route: string): void;
 	/** To be called in each period; true when the profiles have changed enough to be told. */
 	update(): boolean;
 	profiles(): RouteProfile[];
 };
 
 /** Calls for each request below which a route is taken for one that makes none. */
-export const leastCalls = 0.3;
+export const minCalls = 0.3;
 
 /** Milliseconds of a period: long against a request, so that few calls fall into another period than their request. */
 export const profilePeriod = 1000;
@@ -141,7 +141,7 @@
 		}
 
 		const {runs, periods} = seen[index]!;
-		return calls < leastCalls && runs >= leastRuns && periods >= leastPeriods;
+		return calls < minCalls && runs >= leastRuns && periods >= leastPeriods;
 	};
 
 	const profiles = (): RouteProfile[] =>
@@ -218,13 +218,13 @@
 	};
 
 	return {
-		noteRun(route) {
+		recordRun(route) {
 			const position = positionOf(route);
 			if (position !== -1) {
 				begun[position]!++;
 			}
 		},
-		noteRunTime(route, duration) {
+		recordRunTime(route, duration) {
 			const position = positionOf(route);
 			if (position !== -1) {
 				const known = runTimes[position]!;
@@ -232,7 +232,7 @@
 					known === 0 ? duration : known + (duration - known) * durationWeight;
 			}
 		},
-		noteCall(route) {
+		recordCall(route) {
 			const known = estimates.get(route);
 			if (known) {
 				known.made++;
--- a/packages/mesh/src/decisions/failure-share.ts
+++ b/packages/mesh/src/decisions/failure-share.ts
@@ -13,7 +13,7 @@
 
 /** The failures of one target. */
 export type FailureShare = {
-	note(isFailure: boolean, now: number): void;
+	record(isFailure: boolean, now: number): void;
 	/** From 0 to 1. */
 	value(now: number): number;
 };
@@ -29,7 +29,7 @@
 	let notedAt = 0;
 	const value = (now: number) => share * 0.5 ** ((now - notedAt) / halfLife);
 	return {
-		note(isFailure, now) {
+		record(isFailure, now) {
 			// Only silence lets the share sink; answers weigh by their number.
 			const before = now - notedAt > halfLife ? value(now) : share;
 			share = before + answerWeight * ((isFailure ? 1 : 0) - before);
--- a/packages/mesh/src/decisions/inner-routes.ts
+++ b/packages/mesh/src/decisions/inner-routes.ts
@@ -16,11 +16,11 @@
 /** What this node knows of who asks for which route. */
 export type InnerRoutes = {
 	/** Takes note of a request here; true when the others have to be told of its route. */
-	note(route: string): boolean;
+	record(route: string): boolean;
 	/** The routes that this node was asked for. */
-	asked(): string[];
+	requestedRoutes(): string[];
 	/** The routes that the nodes beside a service were asked for. */
-	take(service: string, routes: readonly string[]): void;
+	addPeerRoutes(service: string, routes: readonly string[]): void;
 	isInner(route: string): boolean;
 };
 
@@ -43,7 +43,7 @@
 	};
 
 	return {
-		note(route) {
+		record(route) {
 			const count = (counts.get(route) ?? 0) + 1;
 			counts.set(route, count);
 			if (count !== leastRequests) {
@@ -53,11 +53,11 @@
 			add(ownService, route);
 			return true;
 		},
-		asked: () =>
+		requestedRoutes: () =>
 			[...counts].flatMap(([route, count]) =>
 				count >= leastRequests ? [route] : [],
 			),
-		take(service, routes) {
+		addPeerRoutes(service, routes) {
 			for (const route of routes) {
 				add(service, route);
 			}
--- a/packages/mesh/src/decisions/offer-budget.ts
+++ b/packages/mesh/src/decisions/offer-budget.ts
@@ -37,13 +37,13 @@
 };
 
 /** The part of the bound that is spent at a service that calls nothing; the rest is for what is not seen, such as an arrival in a neighbouring slot. */
-export const partWithoutCalls = 0.9;
+export const leafOfferShare = 0.9;
 /**
  * The part at a service that makes calls. The calls of a request that is run
  * by a repeated offer count as repeats further down, where the budget is worth
  * more: a leaf's repeat costs one run, one here a tree of them.
  */
-export const partWithCalls = 0.25;
+export const nonLeafOfferShare = 0.25;
 
 /** Slots in which a window is counted. */
 const slotsPerWindow = 20;
--- a/packages/mesh/src/decisions/peer-subset.ts
+++ b/packages/mesh/src/decisions/peer-subset.ts
@@ -30,9 +30,9 @@
 };
 
 /** The subset for a service that callers of this node ask for. */
-export const askedSize: SubsetSize = {near: 5, total: 8};
+export const activeSubsetSize: SubsetSize = {near: 5, total: 8};
 /** The subset for a service that nobody asks for here: enough to hear of its state and to begin at once. */
-export const idleSize: SubsetSize = {near: 3, total: 5};
+export const idleSubsetSize: SubsetSize = {near: 3, total: 5};
 /** Members that are tried for each one that is wanted; the others of a service that is down are left alone. */
 const triedForEach = 3;
 
@@ -91,7 +91,7 @@
 /** How a service's subset fares. */
 export type SubsetState = {
 	/** Callers of this node ask for the service. */
-	isAsked: boolean;
+	isRequested: boolean;
 	/** No near member of the subset has room. */
 	isNearFull: boolean;
 	/** No member of the subset has room. */
@@ -114,10 +114,10 @@
 	const follow = (extra: number, isFull: boolean) =>
 		isFull ? Math.min(mostExtra, extra + extraStep) : Math.max(0, extra - 1);
 	return {
-		update({isAsked, isNearFull, isFull}) {
+		update({isRequested: isAsked, isNearFull, isFull}) {
 			nearExtra = follow(nearExtra, isAsked && isNearFull);
 			farExtra = follow(farExtra, isAsked && isFull);
-			const base = isAsked ? askedSize : idleSize;
+			const base = isAsked ? activeSubsetSize : idleSubsetSize;
 			const near = base.near + nearExtra;
 			return {near, total: near + (base.total - base.near) + farExtra};
 		},
--- a/packages/mesh/src/decisions/quota-allotment.ts
+++ b/packages/mesh/src/decisions/quota-allocation.ts
@@ -20,7 +20,7 @@
 export type Reporter = {kind: 'node' | 'dataCentre'; name: string};
 
 /** Sums reports and grants shares; instants by the steady clock, in milliseconds. */
-export type QuotaAllotment = {
+export type QuotaAllocation = {
 	/** Takes a report; a later one of the same reporter replaces it. */
 	report(reporter: Reporter, uses: QuotaUse[], now: number): void;
 	/** Accounts for the time since the last call; to be called in each period. */
@@ -30,7 +30,7 @@
 	/** Shares of the named workspaces, as of the last update. */
 	grants(workspaces: Iterable<string>): QuotaGrant[];
 	/** How many nodes of this data centre have reported lately. */
-	reporting(now: number): number;
+	reportingNodes(now: number): number;
 	/** Whether it has heard enough to grant anything. */
 	isSettled(now: number): boolean;
 };
@@ -73,7 +73,7 @@
 type Account = {level: number; asked: number; share: number};
 
 /** Creates the allotment of a node that has heard no report. */
-export function createQuotaAllotment(startedAt: number): QuotaAllotment {
+export function createQuotaAllocation(startedAt: number): QuotaAllocation {
 	const reports = new Map<string, Report>();
 	let accounts = new Map<string, Account>();
 	let updatedAt = startedAt;
@@ -102,11 +102,11 @@
 		isCounted: (kind: Reporter['kind']) => boolean,
 		now: number,
 	): Sum => {
-		const sum: Sum = {asked: 0, admitted: 0, reserved: 0};
+		const sum: Sum = {requested: 0, admitted: 0, reserved: 0};
 		for (const {kind, at, demands} of reports.values()) {
 			const demand = isCounted(kind) ? demands.get(workspace) : undefined;
 			if (demand && now - at < reportLife) {
-				sum.asked += demand.asked;
+				sum.requested += demand.requested;
 				sum.admitted += demand.admitted;
 				sum.reserved += demand.reserved;
 			} else if (demand) {
@@ -118,7 +118,11 @@
 	};
 
 	const account = (quota: Quota, now: number): Account => {
-		const {asked, admitted, reserved} = sumOf(quota, () => true, now);
+		const {
+			requested: asked,
+			admitted,
+			reserved,
+		} = sumOf(quota, () => true, now);
 		const level = accounts.get(quota.workspace)?.level ?? tolerance;
 		const rate = Math.max(0, quota.rate - reserved);
 		const elapsed = (now - updatedAt) / millisecondsPerSecond;
@@ -160,7 +164,7 @@
 				const mean = demands.get(use.workspace)?.mean ?? 0;
 				demands.set(use.workspace, {
 					...use,
-					mean: mean + weight * use.asked,
+					mean: mean + weight * use.requested,
 					part: 0,
 				});
 			}
@@ -183,7 +187,7 @@
 			const uses: QuotaUse[] = [];
 			for (const quota of current) {
 				const sum = sumOf(quota, (kind) => kind === 'node', now);
-				if (sum.asked > 0 || sum.reserved > 0) {
+				if (sum.requested > 0 || sum.reserved > 0) {
 					uses.push({workspace: quota.workspace, ...sum});
 				}
 			}
@@ -195,17 +199,17 @@
 			for (const workspace of workspaces) {
 				const known = accounts.get(workspace);
 				if (known) {
-					grants.push({workspace, asked: known.asked, share: known.share});
+					grants.push({workspace, requested: known.asked, share: known.share});
 				}
 			}
 
 			return grants;
 		},
-		reporting: (now) => listLiveNodes(now).length,
+		reportingNodes: (now) => listLiveNodes(now).length,
 		isSettled: (now) => now - startedAt >= learningTime,
 	};
 }
 
 function createDemand(workspace: string, mean: number): Demand {
-	return {workspace, asked: 0, admitted: 0, reserved: 0, mean, part: 0};
+	return {workspace, requested: 0, admitted: 0, reserved: 0, mean, part: 0};
 }
--- a/packages/mesh/src/decisions/quota-share.ts
+++ b/packages/mesh/src/decisions/quota-share.ts
@@ -26,7 +26,7 @@
 /** What a node, or the nodes of a data centre, let in of a workspace's requests, and would without a quota; requests a second. */
 export type QuotaUse = {
 	workspace: string;
-	asked: number;
+	requested: number;
 	admitted: number;
 	/** What nodes that can't be heard may let in; 0 for one node. */
 	reserved: number;
@@ -36,7 +36,7 @@
 export type QuotaGrant = {
 	workspace: string;
 	/** Requests a second that all nodes are asked. */
-	asked: number;
+	requested: number;
 	/** The part of them, from 0 to 1, that may be let in. */
 	share: number;
 };
@@ -46,13 +46,13 @@
 	/** Whether the quota allows one more request. */
 	allows(quota: Quota, now: number): boolean;
 	/** A request that was allowed goes to a target; one that is refused otherwise uses up nothing. */
-	noteAdmitted(quota: Quota): void;
+	recordAdmitted(quota: Quota): void;
 	/** Milliseconds until the workspace will probably have room. */
-	returnTime(quota: Quota): number;
+	retryAfterTime(quota: Quota): number;
 	/** What came since the last call. */
 	uses(now: number): QuotaUse[];
 	/** Takes what an allotter grants; also without grants it is a sign of life. */
-	grant(grants: QuotaGrant[], now: number): void;
+	applyGrants(grants: QuotaGrant[], now: number): void;
 };
 
 /** Milliseconds without a sign of an allotter after which a node spends a fixed part. */
@@ -185,14 +185,14 @@
 			account.allowed += isAllowed ? 1 : 0;
 			return isAllowed;
 		},
-		noteAdmitted({workspace}) {
+		recordAdmitted({workspace}) {
 			const account = accounts.get(workspace);
 			if (account) {
 				account.admitted++;
 				account.bucket.tokens--;
 			}
 		},
-		returnTime(quota) {
+		retryAfterTime(quota) {
 			const share = accounts.get(quota.workspace)?.share ?? 1;
 			const missing = (1 - share) * millisecondsPerSecond;
 			return leastReturn + missing * random.fraction();
@@ -208,7 +208,7 @@
 				account.askedRate += weight * (asked - account.askedRate);
 				if (account.asked > 0 || account.askedRate > leastRate) {
 					const admitted = account.admitted * perSecond;
-					uses.push({workspace, asked, admitted, reserved: 0});
+					uses.push({workspace, requested: asked, admitted, reserved: 0});
 				}
 
 				account.asked = 0;
@@ -218,9 +218,9 @@
 
 			return uses;
 		},
-		grant(grants, now) {
+		applyGrants(grants, now) {
 			heardAt = now;
-			for (const {workspace, asked, share} of grants) {
+			for (const {workspace, requested: asked, share} of grants) {
 				const account = accounts.get(workspace);
 				if (account) {
 					account.share = share;
--- a/packages/mesh/src/decisions/recent-share.ts
+++ b/packages/mesh/src/decisions/recent-ratio.ts
@@ -9,8 +9,8 @@
  */
 
 /** The share. */
-export type RecentShare = {
-	note(holds: boolean, now: number): void;
+export type RecentRatio = {
+	record(holds: boolean, now: number): void;
 	/** From 0 to 1; 0 when too little happened lately. */
 	value(now: number): number;
 };
@@ -25,7 +25,7 @@
 type Slot = {index: number; requests: number; holding: number};
 
 /** Creates a share of 0. */
-export function createRecentShare(): RecentShare {
+export function createRecentRatio(): RecentRatio {
 	const slots = Array.from({length: slotCount}, (): Slot => ({
 		index: -1,
 		requests: 0,
@@ -33,7 +33,7 @@
 	}));
 
 	return {
-		note(holds, now) {
+		record(holds, now) {
 			const index = Math.floor(now / slotTime);
 			const slot = slots[index % slotCount]!;
 			if (slot.index !== index) {
--- a/packages/mesh/src/decisions/return-time.ts
+++ b/packages/mesh/src/decisions/retry-after-time.ts
@@ -11,7 +11,7 @@
  */
 
 /** Milliseconds after which a caller may come back when only a moment is missing. */
-export const shortReturn = 300;
+export const shortRetryAfter = 300;
 /** The part of the objective after which a caller comes back at the earliest, if that is sooner. */
 const earliestReturn = 0.2;
 /** The part of the objective after which a caller comes back at the latest. */
@@ -32,12 +32,12 @@
 };
 
 /** Milliseconds until the return, for a fraction drawn from 0 to 1. */
-export function returnTime(
+export function retryAfterTime(
 	{timeLeft, objective, refused}: CallerTime,
 	fraction: number,
 ): number {
 	const most = Math.max(0, timeLeft) * mostOfTimeLeft;
-	const earliest = Math.min(most, shortReturn, objective * earliestReturn);
+	const earliest = Math.min(most, shortRetryAfter, objective * earliestReturn);
 	const latest =
 		refused < nearlyAll ? Math.min(most, objective * latestReturn) : most;
 	return earliest + Math.max(0, latest - earliest) * fraction;
--- a/packages/mesh/src/decisions/retry-budget.ts
+++ b/packages/mesh/src/decisions/retry-budget.ts
@@ -41,9 +41,9 @@
  * with three services above the deepest one, what all of them repeat leaves it
  * half of its bound.
  */
-export const partOfTree = 0.15;
+export const nonLeafRetryShare = 0.15;
 /** The part that is spent on requests whose runs make none: each repeat is one run. */
-export const partOfLeaf = 0.45;
+export const leafRetryShare = 0.45;
 
 /** Slots in which a window is counted; the oldest leaves as a whole. */
 const slotsPerWindow = 10;
--- a/packages/mesh/src/decisions/run-time.ts
+++ b/packages/mesh/src/decisions/run-time.ts
@@ -13,7 +13,7 @@
 
 /** The time of one target's runs, in milliseconds; instants by the steady clock. */
 export type RunTime = {
-	note(duration: number, now: number): void;
+	record(duration: number, now: number): void;
 	/** 0 while unknown. */
 	value(now: number): number;
 };
@@ -29,7 +29,7 @@
 	let notedAt = Number.NEGATIVE_INFINITY;
 	const isFresh = (now: number) => now - notedAt <= freshTime;
 	return {
-		note(duration, now) {
+		record(duration, now) {
 			mean = isFresh(now) ? mean + runWeight * (duration - mean) : duration;
 			notedAt = now;
 		},
--- a/packages/mesh/src/decisions/shed-level.ts
+++ b/packages/mesh/src/decisions/shed-level.ts
@@ -85,7 +85,7 @@
 const leastAdmitted = 0.05;
 
 /** The share of requests that may end declined; a request is whole only if none of its calls is among them. */
-export const leastUnserved = 0.05;
+export const maxUnserved = 0.05;
 /** Rise in one period when all requests end unserved; it is as slow as the sinking near the share that may. */
 const riseOfUnserved = 0.15;
 /** Sinking in one period while the target still declines much, and when it is well. */
@@ -129,10 +129,10 @@
 }
 
 function followUnserved(level: number, {declined, unserved}: Pressure): number {
-	if (unserved > leastUnserved) {
+	if (unserved > maxUnserved) {
 		return Math.min(
 			mostForUnserved,
-			level + riseOfUnserved * (unserved - leastUnserved),
+			level + riseOfUnserved * (unserved - maxUnserved),
 		);
 	}
 
--- a/packages/mesh/src/decisions/gate.ts
+++ b/packages/mesh/src/decisions/target-admission.ts
@@ -12,7 +12,7 @@
  */
 
 /** A request as admission sees it. */
-export type GateRequest = {
+export type AdmissionRequest = {
 	/** It is a call of work that has begun, or new work that makes no calls. */
 	isNearItsEnd: boolean;
 	/** 0 is the highest. */
@@ -22,18 +22,18 @@
 };
 
 type Waiting<T> = {
-	request: GateRequest;
+	request: AdmissionRequest;
 	item: T;
 	until: number;
 	isGone: boolean;
 };
 
 /** What becomes of a request that is offered. */
-export type GateDecision = 'run' | 'wait' | 'refuse';
+export type AdmissionDecision = 'run' | 'wait' | 'refuse';
 
 /** The admission of one target. */
-export type Gate<T> = {
-	offer(request: GateRequest, item: T, now: number): GateDecision;
+export type TargetAdmission<T> = {
+	offer(request: AdmissionRequest, item: T, now: number): AdmissionDecision;
 	/** A request that ran has ended, after so many milliseconds; undefined when it says nothing of the target's speed. */
 	finish(duration: number | undefined): void;
 	/** Takes the next to run, if there is room. */
@@ -60,7 +60,9 @@
 const firstDuration = 30;
 
 /** Creates the admission of a target that is handed so many requests at once. */
-export function createGate<T>(handedAtOnce: number): Gate<T> {
+export function createTargetAdmission<T>(
+	handedAtOnce: number,
+): TargetAdmission<T> {
 	let limit = handedAtOnce;
 	let running = 0;
 	let waitingCount = 0;
@@ -192,6 +194,6 @@
 	return undefined;
 }
 
-function rankOf({isNearItsEnd, priority}: GateRequest): number {
+function rankOf({isNearItsEnd, priority}: AdmissionRequest): number {
 	return isNearItsEnd ? 0 : priority + 1;
 }
--- a/packages/mesh/src/decisions/own-calls.ts
+++ b/packages/mesh/src/decisions/target-calls.ts
@@ -9,14 +9,14 @@
  */
 
 /** The calls of one target. */
-export type OwnCalls = {
+export type TargetCalls = {
 	/** It gets a request, of which this share from 0 to 1 is a repeat. */
-	noteRun(repeatShare: number): void;
+	recordRun(repeatShare: number): void;
 	/** A request that it got is offered again. */
-	noteRepeat(): void;
-	noteCall(): void;
+	recordRepeat(): void;
+	recordCall(): void;
 	/** Whether it makes calls; so it is taken while little has been seen. */
-	any(): boolean;
+	makesCalls(): boolean;
 	/** The share of its work, from 0 to 1, that is a repeat. */
 	repeatShare(): number;
 };
@@ -31,7 +31,7 @@
 const shareWeight = 1 / 32;
 
 /** Creates the knowledge of a target of which nothing was seen. */
-export function createOwnCalls(): OwnCalls {
+export function createTargetCalls(): TargetCalls {
 	let runs = 0;
 	let calls = 0;
 	let repeatShare = 0;
@@ -40,7 +40,7 @@
 	};
 
 	return {
-		noteRun(share) {
+		recordRun(share) {
 			runs++;
 			addShare(share);
 			if (runs > memory) {
@@ -48,13 +48,13 @@
 				calls /= 2;
 			}
 		},
-		noteRepeat() {
+		recordRepeat() {
 			addShare(1);
 		},
-		noteCall() {
+		recordCall() {
 			calls++;
 		},
-		any: () => runs < leastRuns || calls / runs >= leastCalls,
+		makesCalls: () => runs < leastRuns || calls / runs >= leastCalls,
 		repeatShare: () => repeatShare,
 	};
 }
--- a/packages/mesh/src/decisions/target-selection.ts
+++ b/packages/mesh/src/decisions/target-selection.ts
@@ -21,7 +21,7 @@
 export type Candidate = {
 	node: string;
 	/** It is beside this node: no hop between nodes is needed. */
-	isOwn: boolean;
+	isLocal: boolean;
 	/** It is in this node's data centre. */
 	isNear: boolean;
 	/** Requests in it or waiting for it, as far as known, over what it may run at once. */
@@ -38,7 +38,7 @@
  * The occupancy up to which a near target is preferred: above it, a queue
  * forms within the time in which reports are renewed.
  */
-export const nearOccupancy = 0.8;
+export const nearOccupancyThreshold = 0.8;
 /**
  * The occupancy that a crossing between data centres is worth once near
  * targets are full: a quarter of a round of the target's work, some 5 to 20 ms
@@ -82,9 +82,10 @@
 			slownessOf(candidate.runTime, leastTime),
 	}));
 	const withRoom = weighed.filter(
-		({candidate, weight}) => candidate.isNear && weight < nearOccupancy,
+		({candidate, weight}) =>
+			candidate.isNear && weight < nearOccupancyThreshold,
 	);
-	const own = withRoom.find(({candidate}) => candidate.isOwn);
+	const own = withRoom.find(({candidate}) => candidate.isLocal);
 	const chosen =
 		own ??
 		drawBetter(withRoom, random) ??
--- a/packages/mesh/src/entry.ts
+++ b/packages/mesh/src/entry.ts
@@ -1,6 +1,6 @@
 /** Requests of the callers beside this node: finds the route of each and lets it pass. */
 import type {CallerRequest, FinalAnswer, OwnAnswer} from './caller-request.js';
-import {shortReturn} from './decisions/return-time.js';
+import {shortRetryAfter} from './decisions/retry-after-time.js';
 import {
 	createPassage,
 	type PassageEnd,
@@ -92,7 +92,7 @@
 ): Admission | Rejection {
 	const routes = currentRoutes();
 	if (!routes) {
-		return refuse('', 503, 'noConfiguration', shortReturn);
+		return refuse('', 503, 'noConfiguration', shortRetryAfter);
 	}
 
 	const route = routes.findRoute(request.host, pathOf(request.path));
--- a/packages/mesh/src/gatekeeper.ts
+++ b/packages/mesh/src/gatekeeper.ts
@@ -19,7 +19,10 @@
 import type {DeadlineWheel} from './deadline-wheel.js';
 import type {CallProfile} from './decisions/call-profile.js';
 import {createFailureShare} from './decisions/failure-share.js';
-import {createGate, type Gate} from './decisions/gate.js';
+import {
+	createTargetAdmission,
+	type TargetAdmission,
+} from './decisions/target-admission.js';
 import type {MeshPolicy} from './decisions/mesh-policy.js';
 import type {OfferBudgetOptions} from './decisions/offer-budget.js';
 import {createRunTime} from './decisions/run-time.js';
@@ -113,7 +116,7 @@
 		budget: options.retryBudget,
 	});
 	const {profile} = options;
-	let gate: Gate<Job> = createGate<Job>(1);
+	let gate: TargetAdmission<Job> = createTargetAdmission<Job>(1);
 	let target: TargetRecord | undefined;
 	let isStopping = false;
 	let ticker: Timer | undefined;
@@ -199,7 +202,7 @@
 		const ordinal = runWatch.started();
 		metrics.targetStarted(now - job.offeredAt);
 		offers.noteStart(job.request, now);
-		profile.noteRun(job.request.route);
+		profile.recordRun(job.request.route);
 		job.run = startTargetRun({
 			clock,
 			wheel,
@@ -224,7 +227,7 @@
 				runGate.finish(duration);
 				noteRunTime(clock.now() - now, duration !== undefined);
 				if (duration !== undefined) {
-					profile.noteRunTime(job.request.route, duration);
+					profile.recordRunTime(job.request.route, duration);
 				}
 
 				startNext();
@@ -280,7 +283,7 @@
 	const noteRunTime = (elapsed: number, isWhole: boolean) => {
 		const now = clock.now();
 		if (isWhole || elapsed > runTime.value(now)) {
-			runTime.note(elapsed, now);
+			runTime.record(elapsed, now);
 		}
 	};
 
@@ -300,7 +303,7 @@
 
 	const noteOffer = ({request}: Job, outcome: Outcome) => {
 		const now = clock.now();
-		failures.note(
+		failures.record(
 			outcome.kind !== 'answered' || isTargetFailure(outcome.status),
 			now,
 		);
@@ -407,7 +410,7 @@
 			if (isOtherStart) {
 				const waiting = takeWaiting();
 				watch = watchTarget();
-				gate = createGate<Job>(options.policy.limitOf(record.slots));
+				gate = createTargetAdmission<Job>(options.policy.limitOf(record.slots));
 				access.close();
 				if (!record.isLeaving) {
 					access.open(record);
@@ -455,7 +458,7 @@
 			};
 		},
 		noteCall(route) {
-			profile.noteCall(route);
+			profile.recordCall(route);
 			return offers.noteCall();
 		},
 		load,
--- a/packages/mesh/src/index.ts
+++ b/packages/mesh/src/index.ts
@@ -1,4 +1,7 @@
-export {createGate, type Gate} from './decisions/gate.js';
+export {
+	createTargetAdmission,
+	type TargetAdmission,
+} from './decisions/target-admission.js';
 export {
 	createShedLevel,
 	shedPeriod,
--- a/packages/mesh/src/local-candidate.ts
+++ b/packages/mesh/src/local-candidate.ts
@@ -13,7 +13,7 @@
 	const load = gatekeeper.load();
 	return {
 		node: localNode,
-		isOwn: true,
+		isLocal: true,
 		isNear: true,
 		occupancy: load.occupancy,
 		failureShare: load.failureShare,
--- a/packages/mesh/src/mesh-node.ts
+++ b/packages/mesh/src/mesh-node.ts
@@ -236,10 +236,10 @@
 		onMessage: receive,
 		onMalformed,
 		onProfiles(peer, {service, profiles}) {
-			graph.take(peer, service, profiles);
+			graph.setProfiles(peer, service, profiles);
 		},
 		onState({service, routes: asked}) {
-			innerRoutes.take(service, asked);
+			innerRoutes.addPeerRoutes(service, asked);
 		},
 		pinned: quotas.pinned,
 		onPeer(node, change) {
@@ -299,7 +299,7 @@
 		profile,
 		pressure,
 		onLearnt() {
-			graph.take(self.node, settings.service, profile.profiles());
+			graph.setProfiles(self.node, settings.service, profile.profiles());
 		},
 		tell() {
 			peerListener.tellAll(ownNews.profiles());
--- a/packages/mesh/src/own-news.ts
+++ b/packages/mesh/src/own-news.ts
@@ -18,7 +18,7 @@
 	follower: () => Pick<ConfigurationFollower, 'current' | 'isFollowing'>;
 	belief: () => Pick<TargetBelief, 'state'>;
 	gatekeeper: () => Pick<Gatekeeper, 'load'>;
-	innerRoutes: Pick<InnerRoutes, 'asked'>;
+	innerRoutes: Pick<InnerRoutes, 'requestedRoutes'>;
 	profile: Pick<CallProfile, 'profiles'>;
 };
 
@@ -45,7 +45,7 @@
 			target: belief().state(),
 			load: gatekeeper().load(),
 			service: self.service,
-			routes: innerRoutes.asked(),
+			routes: innerRoutes.requestedRoutes(),
 		}),
 		profiles: () => ({
 			kind: 'profiles',
--- a/packages/mesh/src/passage.ts
+++ b/packages/mesh/src/passage.ts
@@ -15,10 +15,10 @@
 import type {CallGraph} from './decisions/call-graph.js';
 import type {InnerRoutes} from './decisions/inner-routes.js';
 import type {MeshPolicy} from './decisions/mesh-policy.js';
-import {returnTime} from './decisions/return-time.js';
+import {retryAfterTime} from './decisions/retry-after-time.js';
 import {
-	partOfLeaf,
-	partOfTree,
+	leafRetryShare,
+	nonLeafRetryShare,
 	type RetryBudget,
 } from './decisions/retry-budget.js';
 import type {Directory, TargetCandidate} from './directory.js';
@@ -98,7 +98,7 @@
 		isInner ||
 		(options.policy.has('nearEndFirst') &&
 			!options.graph.mayCall(route.name, service));
-	if (innerRoutes.note(route.name)) {
+	if (innerRoutes.record(route.name)) {
 		options.onNewRoute();
 	}
 
@@ -161,7 +161,7 @@
 						kind: 'own',
 						status: 503,
 						reason,
-						retryAfter: returnTime(
+						retryAfter: retryAfterTime(
 							{
 								timeLeft: callerTimeLeft(),
 								objective: objectiveOfReturn,
@@ -277,7 +277,7 @@
 
 	const takeFromBudget = (now: number): boolean => {
 		const mayCall = options.graph.mayCall(route.name, service);
-		const part = mayCall ? partOfTree : partOfLeaf;
+		const part = mayCall ? nonLeafRetryShare : leafRetryShare;
 		return budget.take(service, now, directory.size(), part);
 	};
 
--- a/packages/mesh/src/peer.ts
+++ b/packages/mesh/src/peer.ts
@@ -115,7 +115,7 @@
 ): TargetCandidate {
 	return {
 		node: peer.member.node,
-		isOwn: false,
+		isLocal: false,
 		isNear: peer.member.dataCentre === dataCentre,
 		occupancy: estimateOccupancy(peer, slots),
 		// A node that stops still serves for a moment, for those who have no other.
--- a/packages/mesh/src/quota-exchange.ts
+++ b/packages/mesh/src/quota-exchange.ts
@@ -10,7 +10,7 @@
  */
 import type {Clock, Random} from '@egretspoke/shared';
 import {createNameRank} from './decisions/name-rank.js';
-import {createQuotaAllotment} from './decisions/quota-allotment.js';
+import {createQuotaAllocation} from './decisions/quota-allocation.js';
 import {
 	createQuotaShare,
 	type Quota,
@@ -89,7 +89,7 @@
 ): QuotaExchange {
 	const {clock, self, directory} = options;
 	const startedAt = clock.now();
-	const allotment = createQuotaAllotment(startedAt);
+	const allotment = createQuotaAllocation(startedAt);
 	const share = createQuotaShare({
 		nodes: () =>
 			options.isMembershipKnown()
@@ -152,7 +152,7 @@
 	const mayGrant = (now: number): boolean =>
 		options.isMembershipKnown() &&
 		allotment.isSettled(now) &&
-		allotment.reporting(now) * 2 > near.length;
+		allotment.reportingNodes(now) * 2 > near.length;
 
 	const reportTo = (allotter: string, uses: QuotaUse[], isFirst: boolean) => {
 		const now = clock.now();
@@ -168,7 +168,10 @@
 
 		allotment.report({kind: 'node', name: self.node}, uses, now);
 		if (isFirst && mayGrant(now)) {
-			share.grant(allotment.grants(uses.map(({workspace}) => workspace)), now);
+			share.applyGrants(
+				allotment.grants(uses.map(({workspace}) => workspace)),
+				now,
+			);
 		}
 	};
 
@@ -211,9 +214,9 @@
 	return {
 		allows: (workspace) => share.allows(toQuota(workspace), clock.now()),
 		noteAdmitted(workspace) {
-			share.noteAdmitted(toQuota(workspace));
+			share.recordAdmitted(toQuota(workspace));
 		},
-		returnTime: (workspace) => share.returnTime(toQuota(workspace)),
+		returnTime: (workspace) => share.retryAfterTime(toQuota(workspace)),
 		pinned() {
 			if (!options.workspaces().some(({rate}) => rate > 0)) {
 				return [];
@@ -236,9 +239,9 @@
 				dataCentre === undefined
 					? {kind: 'node', name: node}
 					: {kind: 'dataCentre', name: dataCentre},
-				uses.map(([workspace, asked, admitted, reserved]) => ({
+				uses.map(([workspace, requested, admitted, reserved]) => ({
 					workspace,
-					asked,
+					requested,
 					admitted,
 					reserved,
 				})),
@@ -248,19 +251,19 @@
 				const grants = allotment.grants(uses.map(([workspace]) => workspace));
 				reply({
 					kind: 'quotaGrant',
-					grants: grants.map(({workspace, asked, share: part}) => [
+					grants: grants.map(({workspace, requested, share: part}) => [
 						workspace,
-						asked,
+						requested,
 						part,
 					]),
 				});
 			}
 		},
 		takeGrant({grants}) {
-			share.grant(
-				grants.map(([workspace, asked, part]) => ({
+			share.applyGrants(
+				grants.map(([workspace, requested, part]) => ({
 					workspace,
-					asked,
+					requested,
 					share: part,
 				})),
 				clock.now(),
@@ -273,9 +276,9 @@
 }
 
 function toTuples(uses: QuotaUse[]): QuotaUseMessage['uses'] {
-	return uses.map(({workspace, asked, admitted, reserved}) => [
+	return uses.map(({workspace, requested, admitted, reserved}) => [
 		workspace,
-		roundToTenth(asked),
+		roundToTenth(requested),
 		roundToTenth(admitted),
 		roundToTenth(reserved),
 	]);
--- a/packages/mesh/src/repeated-offers.ts
+++ b/packages/mesh/src/repeated-offers.ts
@@ -2,12 +2,12 @@
 import type {MeshPolicy} from './decisions/mesh-policy.js';
 import {
 	createOfferBudget,
-	partWithCalls,
-	partWithoutCalls,
+	nonLeafOfferShare,
+	leafOfferShare,
 	type OfferBudgetOptions,
 } from './decisions/offer-budget.js';
-import {createOwnCalls} from './decisions/own-calls.js';
-import {createRecentShare} from './decisions/recent-share.js';
+import {createTargetCalls} from './decisions/target-calls.js';
+import {createRecentRatio} from './decisions/recent-ratio.js';
 import type {HandedRequest, Outcome} from './exchange.js';
 
 /** What the offers need. */
@@ -41,29 +41,29 @@
 	budget: budgetOptions,
 }: RepeatedOffersOptions): RepeatedOffers {
 	const budget = createOfferBudget(budgetOptions);
-	const ownCalls = createOwnCalls();
-	const declined = createRecentShare();
-	const unserved = createRecentShare();
+	const ownCalls = createTargetCalls();
+	const declined = createRecentRatio();
+	const unserved = createRecentRatio();
 	return {
 		noteStart({repeatShare}, now) {
 			budget.countArrival(repeatShare, now);
-			ownCalls.noteRun(repeatShare);
+			ownCalls.recordRun(repeatShare);
 		},
 		noteOffer({kind}, now) {
-			declined.note(kind === 'declined', now);
+			declined.record(kind === 'declined', now);
 		},
 		noteEnd({kind}, now) {
-			unserved.note(kind === 'declined', now);
+			unserved.record(kind === 'declined', now);
 		},
 		noteCall() {
-			ownCalls.noteCall();
+			ownCalls.recordCall();
 			return ownCalls.repeatShare();
 		},
 		take(now) {
-			const part = ownCalls.any() ? partWithCalls : partWithoutCalls;
+			const part = ownCalls.makesCalls() ? nonLeafOfferShare : leafOfferShare;
 			const isTaken = policy.has('offerAgain') && budget.take(part, now);
 			if (isTaken) {
-				ownCalls.noteRepeat();
+				ownCalls.recordRepeat();
 			}
 
 			return isTaken;
--- a/packages/mesh/src/target-levels.ts
+++ b/packages/mesh/src/target-levels.ts
@@ -2,7 +2,7 @@
 import type {MeshPolicy} from './decisions/mesh-policy.js';
 import {
 	createShedLevel,
-	leastUnserved,
+	maxUnserved,
 	type Pressure,
 } from './decisions/shed-level.js';
 
@@ -27,6 +27,6 @@
 			own.update({...pressure, unserved: isUsed ? pressure.unserved : 0});
 		},
 		own: () => own.value(),
-		isIdle: (unserved) => own.value() === 0 && unserved < leastUnserved,
+		isIdle: (unserved) => own.value() === 0 && unserved < maxUnserved,
 	};
 }
--- a/packages/mesh/src/wanted-members.ts
+++ b/packages/mesh/src/wanted-members.ts
@@ -9,7 +9,7 @@
 	type SubsetMember,
 	type SubsetSize,
 } from './decisions/peer-subset.js';
-import {nearOccupancy} from './decisions/target-selection.js';
+import {nearOccupancyThreshold} from './decisions/target-selection.js';
 import type {KnownMembers} from './known-members.js';
 import {
 	estimateOccupancy,
@@ -112,14 +112,17 @@
 		let isFull = true;
 		for (const peer of peers.values()) {
 			const target = usableTarget(peer, service);
-			if (target && estimateOccupancy(peer, target.slots) < nearOccupancy) {
+			if (
+				target &&
+				estimateOccupancy(peer, target.slots) < nearOccupancyThreshold
+			) {
 				isFull = false;
 				isNearFull &&= !isNear(peer.member);
 			}
 		}
 
 		return size.update({
-			isAsked: now - askedAt < askedTime,
+			isRequested: now - askedAt < askedTime,
 			isNearFull,
 			isFull,
 		});
