--- a/packages/mesh/__tests__/call-profile.spec.ts
+++ b/packages/mesh/__tests__/call-profile.spec.ts
@@ -5,10 +5,13 @@
 	type CallProfile,
 } from '../src/decisions/call-profile.js';
 
-describe('the profile of calls', () => {
-	type Played = Record<string, {rate: number; calls: Record<string, number>}>;
+describe('call profile', () => {
+	type SimulatedRoutes = Record<
+		string,
+		{rate: number; calls: Record<string, number>}
+	>;
 
-	const playRequest = (
+	const simulateRequest = (
 		profile: CallProfile,
 		route: string,
 		calls: Record<string, number>,
@@ -21,10 +24,10 @@
 		}
 	};
 
-	/** Plays seconds at a target; a route is so many requests a second, which make so many calls each. */
-	const play = (
+	/** Simulates seconds at a target: requests per second of each route, and the calls that each request makes. */
+	const simulate = (
 		seconds: number,
-		routes: Played,
+		routes: SimulatedRoutes,
 		profile = createCallProfile(),
 	) => {
 		const random = createRandom(7);
@@ -32,7 +35,7 @@
 			for (const [route, {rate, calls}] of Object.entries(routes)) {
 				const requests = Math.round(rate * (0.6 + 0.8 * random.fraction()));
 				for (let request = 0; request < requests; request++) {
-					playRequest(profile, route, calls);
+					simulateRequest(profile, route, calls);
 				}
 			}
 
@@ -48,11 +51,11 @@
 			.find((one) => one.route === route)
 			?.calls.find((call) => call.route === called)?.count ?? 0;
 
-	it('tells a route that makes calls from one that makes none, from their sum alone', () => {
+	it('distinguishes a route that makes calls from one that makes none by the sum of the calls', () => {
 		// Downloads and index lookups run at one target. Only lookups call a deeper
-		// service, four times each. Taken together, downloads are refused whenever
-		// that service is full, and their users never needed it.
-		const profile = play(15, {
+		// service, four times each. If the routes were not distinguished, downloads
+		// would be refused whenever that service is full, although they never use it.
+		const profile = simulate(15, {
 			lookup: {rate: 150, calls: {state: 4}},
 			download: {rate: 7, calls: {}},
 		});
@@ -60,21 +63,21 @@
 		expect(callsOf(profile, 'download', 'state')).to.be.below(0.3);
 	});
 
-	it('puts no calls down to a route because others are slow', () => {
+	it('attributes no calls to a route because others are slow', () => {
 		// A deeper service is full, and lookups wait for it. In one second many
-		// begin and few calls are made, in another it is the other way round. By
-		// chance that goes with the number of downloads, whose users would be
-		// refused for calls that they don't cause.
+		// start and few calls are made; in another it is the reverse. By chance this
+		// correlates with the number of downloads, which would be refused for calls
+		// that they don't cause.
 		const profile = createCallProfile();
 		const random = createRandom(11);
 		let waiting = 0;
 		for (let second = 0; second < 30; second++) {
 			const lookups = Math.round(150 * (0.6 + 0.8 * random.fraction()));
 			const downloads = Math.round(14 * random.fraction());
-			const made = Math.round(
+			const madeCalls = Math.round(
 				(waiting + 4 * lookups) * (0.4 + 0.5 * random.fraction()),
 			);
-			waiting += 4 * lookups - made;
+			waiting += 4 * lookups - madeCalls;
 			for (let run = 0; run < lookups; run++) {
 				profile.recordRun('lookup');
 			}
@@ -83,7 +86,7 @@
 				profile.recordRun('download');
 			}
 
-			for (let call = 0; call < made; call++) {
+			for (let call = 0; call < madeCalls; call++) {
 				profile.recordCall('state');
 			}
 
@@ -96,8 +99,8 @@
 		expect(callsOf(profile, 'lookup', 'state')).to.be.above(1);
 	});
 
-	it('tells how many calls each of two routes makes to two others', () => {
-		const profile = play(30, {
+	it('estimates the calls of two routes to two others', () => {
+		const profile = simulate(30, {
 			page: {rate: 40, calls: {ledger: 2}},
 			order: {rate: 30, calls: {ledger: 1, stock: 3}},
 		});
@@ -108,20 +111,20 @@
 	});
 
 	it('follows a change of the graph within half a minute', () => {
-		// A release makes a page ask twice instead of once. Believed for long, the
-		// page costs twice what it is refused for, and others pay for it.
+		// After a release, a page makes two calls instead of one. With an old
+		// estimate the page costs twice what it is refused for, and others are refused instead.
 		const order = {rate: 30, calls: {}};
-		const profile = play(30, {page: {rate: 40, calls: {ledger: 1}}, order});
-		play(30, {page: {rate: 40, calls: {ledger: 2}}, order}, profile);
+		const profile = simulate(30, {page: {rate: 40, calls: {ledger: 1}}, order});
+		simulate(30, {page: {rate: 40, calls: {ledger: 2}}, order}, profile);
 		expect(callsOf(profile, 'page', 'ledger')).to.be.within(1.7, 2.2);
 	});
 
-	it('tells only what has changed', () => {
-		const profile = play(20, {page: {rate: 40, calls: {ledger: 1}}});
+	it('reports no change when nothing has changed', () => {
+		const profile = simulate(20, {page: {rate: 40, calls: {ledger: 1}}});
 		expect(profile.update()).to.equal(false);
 	});
 
-	it('keeps to a bounded number of routes', () => {
+	it('tracks a bounded number of routes', () => {
 		const profile = createCallProfile();
 		for (let route = 0; route < 100; route++) {
 			profile.recordRun(`route-${route}`);
@@ -131,14 +134,15 @@
 		expect(profile.profiles()).to.have.length(12);
 	});
 
-	describe('of a route of which little was seen', () => {
+	describe('of a route with few requests', () => {
 		const isLeaf = (profile: CallProfile, route: string) =>
 			profile.profiles().find((one) => one.route === route)?.isLeaf;
 
-		it('is not certain to make no calls', () => {
-			// After a restart under load the first requests have begun and their calls
-			// come later. Told to call nobody, they get the repeats of a leaf and no
-			// level goes up to them, and trees of calls are begun that can't end.
+		it('is not a leaf', () => {
+			// After a restart under load the first requests have started and their
+			// calls come later. If the route counted as a leaf, it would get the retry
+			// budget of a leaf and its requests would not be shed for deeper services,
+			// so trees of calls would start that can't complete.
 			const profile = createCallProfile();
 			profile.recordRun('lookup');
 			profile.update();
@@ -146,9 +150,9 @@
 		});
 
 		for (const failing of [0.1, 1 / 3, 0.9]) {
-			it(`is never taken for one that makes none while ${Math.round(failing * 100)} % of its requests fail`, () => {
-				// A node starts under load, and a part of the requests ends before it has
-				// made its calls.
+			it(`is not a leaf while ${Math.round(failing * 100)} % of its requests fail before they make calls`, () => {
+				// A node starts under load, and a part of the requests ends before making
+				// its calls.
 				const profile = createCallProfile();
 				const random = createRandom(5);
 				for (let second = 0; second < 10; second++) {
@@ -166,8 +170,8 @@
 			});
 		}
 
-		it('is certain after some seconds of a route that makes none', () => {
-			const profile = play(5, {
+		it('is a leaf after some seconds if it makes no calls', () => {
+			const profile = simulate(5, {
 				lookup: {rate: 150, calls: {state: 4}},
 				download: {rate: 30, calls: {}},
 			});
--- a/packages/mesh/__tests__/failure-share.spec.ts
+++ b/packages/mesh/__tests__/failure-share.spec.ts
@@ -1,8 +1,8 @@
 import {expect} from 'chai';
 import {createFailureShare} from '../src/decisions/failure-share.js';
 
-describe('a share of failures', () => {
-	it('follows the answers, and sinks while none is tried', () => {
+describe('failure share', () => {
+	it('follows the answers, and decays without answers', () => {
 		const share = createFailureShare();
 		for (let index = 0; index < 100; index++) {
 			share.record(index % 2 === 0, 10_000 + index * 10);
--- a/packages/mesh/__tests__/feed-followers.spec.ts
+++ b/packages/mesh/__tests__/feed-followers.spec.ts
@@ -6,7 +6,7 @@
 	type FeedPeer,
 } from '../src/decisions/feed-followers.js';
 
-/** Lets every node of a fleet decide in turn until nothing changes; gives the followers. */
+/** Lets every node of a fleet decide repeatedly until the result is stable; returns the followers. */
 function settle(size: number, links: number): Set<string> {
 	const random = createRandom(7);
 	const names = Array.from({length: size}, (_, index) => `node-${index}`);
@@ -39,22 +39,22 @@
 	return followers;
 }
 
-describe('the nodes that follow the feed', () => {
+describe('the followers of the feed', () => {
 	it('are fewer than half of a large fleet', () => {
 		expect(settle(200, 24).size).to.be.within(5, 100);
 	});
 
-	it('are five of a small one, all of which are linked', () => {
+	it('are five nodes of a small, fully linked fleet', () => {
 		expect(settle(15, 14).size).to.equal(5);
 	});
 
-	it('are all of a fleet that is smaller than that', () => {
+	it('are all nodes of a fleet of fewer than five', () => {
 		expect(settle(3, 2).size).to.equal(3);
 	});
 
-	it('are joined by a node whose followers are lost', () => {
-		// Every follower of a node loses the store; if the node went on to rely on
-		// them, it would keep an old configuration for good.
+	it('include a node whose linked peers no longer follow', () => {
+		// Every follower linked to a node loses the store. If the node kept relying
+		// on them, it would keep an old configuration indefinitely.
 		const peers = Array.from({length: 30}, (_, index) => ({
 			node: `peer-${index}`,
 			isFollowing: false,
@@ -62,7 +62,7 @@
 		expect(isFeedFollower('self', peers)).to.equal(true);
 	});
 
-	it('ask the store one after the other when all nodes start at once', () => {
+	it('request a configuration at different times when all nodes start at once', () => {
 		const delays = Array.from({length: 200}, (_, index) =>
 			feedStartDelay(`node-${index}`),
 		).toSorted((left, right) => left - right);
--- /dev/null
+++ b/packages/mesh/__tests__/gate.spec.ts
@@ -0,0 +1,72 @@
+import {expect} from 'chai';
+import {
+	createTargetAdmission,
+	type AdmissionRequest,
+} from '../src/decisions/target-admission.js';
+import {egretspokePolicy} from '../src/decisions/mesh-policy.js';
+
+describe('target admission', () => {
+	const innerCall: AdmissionRequest = {
+		isNearItsEnd: true,
+		priority: 2,
+		patience: 300,
+	};
+	const newRequest: AdmissionRequest = {
+		isNearItsEnd: false,
+		priority: 0,
+		patience: 300,
+	};
+
+	const createFullAdmission = () => {
+		const admission = createTargetAdmission<string>(
+			egretspokePolicy.limitOf(21),
+		);
+		for (let index = 0; index < 19; index++) {
+			admission.offer(newRequest, `running ${index}`, 0);
+		}
+
+		return admission;
+	};
+
+	it('runs at most nineteen requests with twenty-one slots', () => {
+		const admission = createFullAdmission();
+		expect(admission.offer(newRequest, 'one more', 0)).to.equal('wait');
+		expect(admission.running()).to.equal(19);
+	});
+
+	it('runs calls of running requests before new requests of a higher priority', () => {
+		const admission = createFullAdmission();
+		admission.offer(newRequest, 'new', 0);
+		admission.offer(innerCall, 'call', 0);
+		admission.finish(30);
+		expect(admission.next()).to.equal('call');
+	});
+
+	it('refuses a request immediately when its expected wait exceeds its maximum', () => {
+		const admission = createFullAdmission();
+		for (let index = 0; index < 40; index++) {
+			admission.offer({...newRequest, patience: 1000}, `waiting ${index}`, 0);
+		}
+
+		expect(admission.offer({...newRequest, patience: 20}, 'late', 0)).to.equal(
+			'refuse',
+		);
+	});
+
+	it('returns requests whose maximum wait has passed, once', () => {
+		const admission = createFullAdmission();
+		admission.offer({...newRequest, patience: 50}, 'impatient', 0);
+		admission.offer({...newRequest, patience: 500}, 'patient', 0);
+		expect(admission.expire(100)).to.deep.equal(['impatient']);
+		expect(admission.expire(100)).to.deep.equal([]);
+		expect(admission.waiting()).to.equal(1);
+	});
+
+	it('removes a withdrawn request from the queue', () => {
+		const admission = createFullAdmission();
+		admission.offer(newRequest, 'left', 0);
+		expect(admission.withdraw('left')).to.equal(true);
+		admission.finish(30);
+		expect(admission.next()).to.equal(undefined);
+	});
+});
--- a/packages/mesh/__tests__/mesh-policy.spec.ts
+++ b/packages/mesh/__tests__/mesh-policy.spec.ts
@@ -5,7 +5,7 @@
 } from '../src/decisions/mesh-policy.js';
 
 describe('a policy without some mechanisms', () => {
-	it('leaves out what is named, and nothing else', () => {
+	it('disables the named mechanisms and no others', () => {
 		const policy = withoutMechanisms(
 			egretspokePolicy,
 			'shedNew, offerAgain',
@@ -15,12 +15,12 @@
 		expect(policy.has('shedNew')).to.equal(false);
 	});
 
-	it('is the whole policy when nothing is named', () => {
+	it('has all mechanisms when none is named', () => {
 		const policy = withoutMechanisms(egretspokePolicy, '')._unsafeUnwrap();
 		expect(policy.has('shedNew')).to.equal(true);
 	});
 
-	it('names every word that is no mechanism, and those that are', () => {
+	it('lists unknown names and the valid ones in the error', () => {
 		const error = withoutMechanisms(
 			egretspokePolicy,
 			'shedAll,offerAgain,more',
--- a/packages/mesh/__tests__/offer-budget.spec.ts
+++ b/packages/mesh/__tests__/offer-budget.spec.ts
@@ -7,12 +7,12 @@
 } from '../src/decisions/offer-budget.js';
 
 const options = {ratio: 0.2, window: 10_000};
-/** Repeats that operators allow in each window whatever the load. */
+/** Repeats that operators allow in each window regardless of load. */
 const slack = 48;
 
 type Arrival = {at: number; isRepeat: boolean};
 
-/** The largest number of repeats in a window beyond what its requests allow. */
+/** The maximum number of repeats in a window beyond what its requests allow. */
 function findExcess(arrivals: Arrival[]): number {
 	const {ratio, window} = options;
 	const count = (from: number, isRepeat: boolean) =>
@@ -35,12 +35,12 @@
 	);
 }
 
-describe('the budget of offers', () => {
-	it('keeps all nodes within the bound, however load is spread over them and over time', () => {
-		// Targets decline more than half of what they get while load moves from
-		// one to the other, stops and comes back. Each node knows only its own
-		// target. Beyond the bound, a service that has little left is drowned in
-		// repeats and stays down after the cause has gone.
+describe('offer budget', () => {
+	it('keeps all nodes within the bound for every distribution of load over nodes and time', () => {
+		// Targets decline more than half of their requests while load moves between
+		// them, stops and returns. Each node knows only its own target. Beyond the
+		// bound, a service with little capacity left is overloaded by repeats and
+		// stays down after the cause has gone.
 		const second = fc.array(fc.nat(40), {minLength: 3, maxLength: 3});
 		fc.assert(
 			fc.property(
@@ -68,7 +68,7 @@
 		);
 	});
 
-	it('leaves what others have sent again out of its own', () => {
+	it('counts repeats by other nodes against the bound', () => {
 		const spend = (repeatShare: number) => {
 			const budget = createOfferBudget(options);
 			let taken = 0;
@@ -84,11 +84,11 @@
 		expect(spend(0.2)).to.be.below(20);
 	});
 
-	it('bounds what reaches the lowest of three services that all decline', () => {
-		// Three services in a row turn away half of what they get. Each repeat of
-		// an upper one repeats the calls below it; the lowest gets them all.
+	it('bounds the repeats at the lowest of three services that all decline', () => {
+		// Three services, each calling the next, decline half of their requests. Each
+		// repeat of an upper one repeats the calls below it; the lowest gets them all.
 		const budgets = [0, 1, 2].map(() => createOfferBudget(options));
-		const parts = [nonLeafOfferShare, nonLeafOfferShare, leafOfferShare];
+		const budgetShares = [nonLeafOfferShare, nonLeafOfferShare, leafOfferShare];
 		let share = 0;
 		let repeatsOfLowest = 0;
 		const requests = 3000;
@@ -97,7 +97,7 @@
 			share = 0;
 			for (const [level, budget] of budgets.entries()) {
 				budget.countArrival(share, at);
-				const isTaken = budget.take(parts[level]!, at);
+				const isTaken = budget.take(budgetShares[level]!, at);
 				repeatsOfLowest += level === 2 ? share + (isTaken ? 1 : 0) : 0;
 				share = isTaken ? 1 : share;
 			}
@@ -106,9 +106,9 @@
 		expect(repeatsOfLowest / requests).to.be.at.most(options.ratio);
 	});
 
-	it('does not spend in a moment what a window holds', () => {
-		// All targets begin to decline under full load. Spent at once on work of
-		// which most is refused a second later, nothing is left for payments.
+	it('does not spend the budget of a window at once', () => {
+		// All targets begin to decline under full load. If the budget is spent at once
+		// on requests of which most are refused a second later, none is left for payments.
 		const budget = createOfferBudget(options);
 		for (let at = 0; at < 10_000; at += 2) {
 			budget.countArrival(0, at);
--- a/packages/mesh/__tests__/target-calls.spec.ts
+++ b/packages/mesh/__tests__/own-calls.spec.ts
@@ -1,8 +1,8 @@
 import {expect} from 'chai';
-import {createTargetCalls} from '../src/decisions/target-calls.js';
+import {createTargetCalls} from '../src/decisions/own-calls.js';
 
-describe('the calls of a target', () => {
-	it('are taken to be made until much was seen without one', () => {
+describe('target calls', () => {
+	it('are assumed until enough requests without calls are recorded', () => {
 		const calls = createTargetCalls();
 		expect(calls.makesCalls()).to.equal(true);
 		for (let run = 0; run < 100; run++) {
@@ -17,10 +17,10 @@
 		expect(calls.makesCalls()).to.equal(true);
 	});
 
-	it('pass on how much of the work is a repeat', () => {
+	it('report the ratio of the work that is repeated', () => {
 		// Half of the work of a service in the middle was offered twice. Its calls
-		// are repeats too; unless the service below is told so, it spends the whole
-		// bound once more and gets more than it can bear.
+		// are repeats too; unless this is passed on, the service below spends the
+		// whole bound again and is overloaded.
 		const calls = createTargetCalls();
 		for (let run = 0; run < 400; run++) {
 			calls.recordRun(run % 2);
--- a/packages/mesh/__tests__/peer-subset.spec.ts
+++ b/packages/mesh/__tests__/peer-subset.spec.ts
@@ -39,13 +39,13 @@
 	).map(({node}) => node);
 }
 
-describe('the subset of a service that a node is linked to', () => {
+describe('the subset of a service to which a node is linked', () => {
 	for (const size of [3, 15, 100, 1000]) {
 		describe(`in a fleet of ${size}`, () => {
 			const fleet = createFleet(size);
 			const subsets = fleet.map((self) => subsetOf(self, fleet));
 
-			it('is bounded, and complete where the fleet is smaller', () => {
+			it('is bounded, and contains all members of a smaller fleet', () => {
 				for (const subset of subsets) {
 					expect(subset.length).to.equal(
 						Math.min(activeSubsetSize.total, size - 1),
@@ -53,8 +53,8 @@
 				}
 			});
 
-			it('names every member, and none far more often than the others', () => {
-				// A member that no node is linked to would idle while others are full.
+			it('contains every member at some node, and none far more often than the others', () => {
+				// A member to which no node is linked would idle while others are full.
 				const counts = new Map<string, number>();
 				for (const node of subsets.flat()) {
 					counts.set(node, (counts.get(node) ?? 0) + 1);
@@ -71,7 +71,7 @@
 	describe('when members change', () => {
 		const fleet = createFleet(200);
 
-		it('changes by one at most when one member leaves', () => {
+		it('changes by at most one member when a member leaves', () => {
 			const left = fleet.slice(1);
 			for (const self of left) {
 				const before = subsetOf(self, fleet);
@@ -81,9 +81,9 @@
 			}
 		});
 
-		it('leaves targets to use when a whole data centre is lost', () => {
-			// Subsets of near members alone would leave a data centre without the
-			// targets of others once its own are gone.
+		it('still has targets when a whole data centre is lost', () => {
+			// With near members only, a data centre whose own targets are lost could
+			// not use those of others.
 			const down = new Set(
 				fleet.filter(({dataCentre}) => dataCentre === 0).map(({node}) => node),
 			);
@@ -97,7 +97,7 @@
 			}
 		});
 
-		it('takes another member beside one that can not take work, and keeps that one', () => {
+		it('adds another member when one can not take work, and keeps that one', () => {
 			const [self] = fleet;
 			const before = subsetOf(self!, fleet);
 			const after = subsetOf(self!, fleet, new Set([before[0]!]));
@@ -105,7 +105,7 @@
 			expect(after.length).to.equal(before.length + 1);
 		});
 
-		it('is bounded while nobody can take work', () => {
+		it('is bounded while no member can take work', () => {
 			const all = new Set(fleet.map(({node}) => node));
 			const subset = subsetOf(fleet[0]!, fleet, all);
 			expect(subset.length).to.be.at.most(
@@ -113,7 +113,7 @@
 			);
 		});
 
-		it('takes members that could not be reached for long after all others', () => {
+		it('ranks unreachable members after all others', () => {
 			const members = fleet.map(({node}, index) => ({
 				node,
 				isNear: true,
@@ -128,14 +128,14 @@
 });
 
 describe('the size of a subset', () => {
-	it('is small while nobody asks for the service', () => {
+	it('is small while the service is not requested', () => {
 		const size = createAdaptiveSize();
 		expect(
 			size.update({isRequested: false, isNearFull: true, isFull: true}),
 		).to.deep.equal(idleSubsetSize);
 	});
 
-	it('grows by near members first, to a bound, while those that are linked are full', () => {
+	it('grows by near members first, up to a bound, while the linked ones are full', () => {
 		const size = createAdaptiveSize();
 		const state = {isRequested: true, isNearFull: true, isFull: false};
 		const first = size.update(state);
--- a/packages/mesh/__tests__/quota-fleet.ts
+++ b/packages/mesh/__tests__/quota-fleet.ts
@@ -20,12 +20,12 @@
 };
 
 /** Milliseconds from one node to another. */
-const wayTime = 5;
+const linkDelay = 5;
 
 type FleetNode = {
 	member: Member;
 	exchange: QuotaExchange;
-	life: AbortController;
+	controller: AbortController;
 };
 
 /** Creates a fleet whose nodes know each other. */
@@ -52,7 +52,7 @@
 	};
 
 	const deliver = (from: FleetNode, to: string, message: PeerMessage) => {
-		clock.setTimer(wayTime, () => {
+		clock.setTimer(linkDelay, () => {
 			const receiver = nodes.get(to);
 			if (
 				message.kind !== 'quotaUse' ||
@@ -63,12 +63,12 @@
 			}
 
 			receiver.exchange.takeUse(message, (reply) => {
-				clock.setTimer(wayTime, () => {
-					const isBack =
+				clock.setTimer(linkDelay, () => {
+					const isDelivered =
 						reply.kind === 'quotaGrant' &&
 						isLinked(receiver.member, from.member.node) &&
 						nodes.get(from.member.node) === from;
-					if (isBack) {
+					if (isDelivered) {
 						from.exchange.takeGrant(reply);
 					}
 				});
@@ -77,7 +77,7 @@
 	};
 
 	const start = (member: Member) => {
-		const life = new AbortController();
+		const controller = new AbortController();
 		const exchange = createQuotaExchange({
 			clock,
 			random: random.fork(),
@@ -93,9 +93,9 @@
 			workspaces: () => workspaces,
 			tolerance: {window: 5000, overage: 0.1, slack: 20},
 		});
-		const node: FleetNode = {member, exchange, life};
+		const node: FleetNode = {member, exchange, controller};
 		nodes.set(member.node, node);
-		exchange.start(createTicker(clock, life.signal));
+		exchange.start(createTicker(clock, controller.signal));
 	};
 
 	for (const member of members) {
@@ -117,21 +117,21 @@
 			until: number,
 			weightOf: (member: Member) => number,
 		) {
-			const weighed = members.map((member) => ({
+			const weighted = members.map((member) => ({
 				member,
 				weight: weightOf(member),
 			}));
-			const total = weighed.reduce((sum, {weight}) => sum + weight, 0);
+			const total = weighted.reduce((sum, {weight}) => sum + weight, 0);
 			const draw = () => {
 				let left = random.fraction() * total;
-				for (const {member, weight} of weighed) {
+				for (const {member, weight} of weighted) {
 					left -= weight;
 					if (left < 0) {
 						return member;
 					}
 				}
 
-				return weighed.at(-1)!.member;
+				return weighted.at(-1)!.member;
 			};
 
 			while (clock.now() < until) {
@@ -153,10 +153,10 @@
 			isCut = isNowCut;
 		},
 		/** Ends nodes at once, and starts them again with nothing in mind. */
-		restart(isConcerned: (member: Member) => boolean, downTime: number) {
-			for (const member of members.filter((one) => isConcerned(one))) {
+		restart(isAffected: (member: Member) => boolean, downTime: number) {
+			for (const member of members.filter((one) => isAffected(one))) {
 				isDown.add(member.node);
-				nodes.get(member.node)?.life.abort();
+				nodes.get(member.node)?.controller.abort();
 				clock.setTimer(downTime * (0.5 + random.fraction()), () => {
 					isDown.delete(member.node);
 					start(member);
@@ -175,14 +175,14 @@
 		.filter(({isAdmitted}) => isAdmitted)
 		.map(({at}) => at);
 	let first = 0;
-	let most = 0;
+	let max = 0;
 	for (const [index, at] of instants.entries()) {
 		while (instants[first]! <= at - span) {
 			first++;
 		}
 
-		most = Math.max(most, index - first + 1);
+		max = Math.max(max, index - first + 1);
 	}
 
-	return most;
+	return max;
 }
--- a/packages/mesh/__tests__/recent-ratio.spec.ts
+++ b/packages/mesh/__tests__/recent-share.spec.ts
@@ -1,11 +1,11 @@
 import {expect} from 'chai';
-import {createRecentRatio} from '../src/decisions/recent-ratio.js';
+import {createRecentRatio} from '../src/decisions/recent-share.js';
 
-describe('a recent share', () => {
-	it('is of the last moments only', () => {
-		// A target was ill for seconds and is well again, while entries let next to
-		// nothing in. A share that waits for good answers to outweigh the bad ones
-		// keeps users out long after the cause has gone.
+describe('recent ratio', () => {
+	it('covers only a short window', () => {
+		// A target failed for seconds and has recovered, while entry nodes admit almost
+		// no requests. A ratio that waits for successes to outweigh the failures
+		// refuses users long after the cause has gone.
 		const share = createRecentRatio();
 		for (let request = 0; request < 100; request++) {
 			share.record(request % 2 === 0, 1000);
@@ -15,7 +15,7 @@
 		expect(share.value(1400)).to.equal(0);
 	});
 
-	it('says nothing by a few requests', () => {
+	it('is 0 with few requests', () => {
 		const share = createRecentRatio();
 		for (let request = 0; request < 4; request++) {
 			share.record(true, 0);
--- a/packages/mesh/__tests__/retry-budget.spec.ts
+++ b/packages/mesh/__tests__/retry-budget.spec.ts
@@ -3,14 +3,14 @@
 import fc from 'fast-check';
 import {createRetryBudget} from '../src/decisions/retry-budget.js';
 
-describe('a retry budget', () => {
+describe('retry budget', () => {
 	const options = {ratio: 0.2, allowance: 48, window: 10_000};
-	const part = 0.25;
+	const budgetShare = 0.25;
 
-	it('bounds what all nodes together send again when a service loses every answer', () => {
+	it('bounds the retries of all nodes when a service loses every answer', () => {
 		// Every answer of a service is lost while 300 requests a second go to it
-		// through 15 nodes that know nothing of each other's retries. Unbounded,
-		// the service would get twice its load; users see it drown.
+		// through 15 nodes that don't know each other's retries. Without a bound, the
+		// service would get twice its load and be overloaded.
 		const nodes = 15;
 		const budgets = Array.from({length: nodes}, () =>
 			createRetryBudget(options, createRandom(1)),
@@ -20,17 +20,17 @@
 			const now = (index * 1000) / 300;
 			const budget = budgets[index % nodes]!;
 			budget.countRequest('orders', now);
-			retries += budget.take('orders', now, nodes, part) ? 1 : 0;
+			retries += budget.take('orders', now, nodes, budgetShare) ? 1 : 0;
 		}
 
 		expect(retries).to.be.within(100, options.ratio * 3000 + options.allowance);
 	});
 
-	it('has its part again when the window has passed', () => {
+	it('is available again when the window has passed', () => {
 		const budget = createRetryBudget(options, createRandom(1));
 		const takeAll = (now: number) => {
 			let taken = 0;
-			while (budget.take('orders', now, 1, part)) {
+			while (budget.take('orders', now, 1, budgetShare)) {
 				taken++;
 			}
 
@@ -43,8 +43,8 @@
 	});
 
 	describe('of a large fleet', () => {
-		/** Plays a window in which every request asks for a retry; gives what all nodes took. */
-		const playWindow = (shares: number[], seed: number) => {
+		/** Simulates a window in which every request needs a retry; returns the retries of all nodes. */
+		const simulateWindow = (shares: number[], seed: number) => {
 			const random = createRandom(seed);
 			const requests = shares.reduce((total, share) => total + share, 0);
 			let retries = 0;
@@ -53,31 +53,34 @@
 				for (let request = 0; request < share; request++) {
 					const now = (request * options.window) / (share + 1);
 					budget.countRequest('orders', now);
-					retries += budget.take('orders', now, shares.length, part) ? 1 : 0;
+					retries += budget.take('orders', now, shares.length, budgetShare)
+						? 1
+						: 0;
 				}
 			}
 
 			return {requests, retries};
 		};
 
-		it('is spent although the share of one node is less than one retry', () => {
+		it('is spent although the limit of one node is less than one retry', () => {
 			// Some targets lose answers. Each of 200 nodes has sent them ten requests
-			// and may retry half a time: rounded down, no caller gets a second try.
-			const {requests, retries} = playWindow(
+			// and may make half a retry: rounded down, no request is retried.
+			const {requests, retries} = simulateWindow(
 				Array.from({length: 200}, () => 10),
 				3,
 			);
-			const bound = part * (options.ratio * requests + options.allowance);
+			const bound =
+				budgetShare * (options.ratio * requests + options.allowance);
 			expect(retries).to.be.within(bound * 0.5, bound * 1.25);
 		});
 
-		it('is kept to over all nodes, however the load is split', () => {
+		it('holds over all nodes for every distribution of the load', () => {
 			fc.assert(
 				fc.property(
 					fc.array(fc.nat(40), {minLength: 1, maxLength: 300}),
 					fc.nat(),
 					(shares, seed) => {
-						const {requests, retries} = playWindow(shares, seed);
+						const {requests, retries} = simulateWindow(shares, seed);
 						expect(retries).to.be.at.most(
 							options.ratio * requests + options.allowance,
 						);
--- a/packages/mesh/__tests__/run-time.spec.ts
+++ b/packages/mesh/__tests__/run-time.spec.ts
@@ -1,8 +1,8 @@
 import {expect} from 'chai';
 import {createRunTime} from '../src/decisions/run-time.js';
 
-describe('the time of a run', () => {
-	const playRuns = (
+describe('run time', () => {
+	const recordRuns = (
 		time: ReturnType<typeof createRunTime>,
 		duration: number,
 		start: number,
@@ -12,9 +12,9 @@
 		}
 	};
 
-	it('follows a target that turns slow within some runs', () => {
+	it('follows a target that slows down within some runs', () => {
 		const time = createRunTime();
-		playRuns(time, 50, 0);
+		recordRuns(time, 50, 0);
 		for (let run = 0; run < 10; run++) {
 			time.record(600, 1000 + run * 50);
 		}
@@ -22,19 +22,19 @@
 		expect(time.value(1500)).to.be.above(300);
 	});
 
-	it('is unknown after a while in which the target was avoided', () => {
-		// A target was slow for some seconds and is well again. Nobody gives it
-		// work any more, so nothing would ever show that.
+	it('is unknown after some time without runs', () => {
+		// A target was slow for some seconds and has recovered. No node sends it
+		// work any more, so no run would ever show the recovery.
 		const time = createRunTime();
-		playRuns(time, 600, 0);
+		recordRuns(time, 600, 0);
 		expect(time.value(6000)).to.equal(0);
 	});
 
-	it('is that of the next run then', () => {
-		// Averaged with what was seen before, one quick run in each few seconds
-		// would leave the target avoided for a minute.
+	it('is then the duration of the next run', () => {
+		// Averaged with older runs, one fast run every few seconds would leave the
+		// target avoided for a minute.
 		const time = createRunTime();
-		playRuns(time, 600, 0);
+		recordRuns(time, 600, 0);
 		time.record(50, 6000);
 		expect(time.value(6000)).to.equal(50);
 	});
--- a/packages/mesh/__tests__/shed-level.spec.ts
+++ b/packages/mesh/__tests__/shed-level.spec.ts
@@ -2,11 +2,11 @@
 import {createShedLevel, type ShedLevel} from '../src/decisions/shed-level.js';
 import {orderLoad, shareRefused} from '../src/decisions/shed-order.js';
 
-describe('a shed level', () => {
+describe('shed level', () => {
 	const healthy = {declined: 0, unserved: 0};
 
-	/** Periods in which so many capacities would come if nothing were refused. */
-	const play = (level: ShedLevel, periods: number, demand: number) => {
+	/** Simulates periods with a constant demand, as a multiple of the capacity. */
+	const simulate = (level: ShedLevel, periods: number, demand: number) => {
 		let waiting = 0;
 		for (let period = 0; period < periods; period++) {
 			const arriving = demand * (1 - level.value());
@@ -20,10 +20,10 @@
 		}
 	};
 
-	it('finds the share that fits under demand of half above capacity, the least important first', () => {
-		// Half as much again as a target can run comes for twenty seconds. The
-		// queue grows with every period in which more is let in than leaves;
-		// users of every kind would wait to the end of their time.
+	it('finds the ratio that fits when demand is half above capacity, the least important first', () => {
+		// Demand is half above the capacity of a target for twenty seconds. The queue
+		// grows with every period in which more is admitted than completes; users of
+		// every kind would wait until their timeout.
 		const level = createShedLevel();
 		const demands = [
 			{kind: 'low', priority: 1, requests: 90, cost: 1},
@@ -52,27 +52,27 @@
 		expect(shareOf('high')).to.equal(0);
 	});
 
-	it('goes back to refusing nothing when the burst is over', () => {
+	it('returns to 0 when the burst is over', () => {
 		const level = createShedLevel();
-		play(level, 20, 3);
-		play(level, 200, 0.9);
+		simulate(level, 20, 3);
+		simulate(level, 200, 0.9);
 		expect(level.value()).to.equal(0);
 	});
 
-	it('lets everybody in within three seconds once slots are free', () => {
-		// Every node starts again after a loss of power, and all callers come at
-		// once while the targets are cold. Two seconds later the targets have
-		// slots to spare; callers are still refused for as long as the level is up.
+	it('returns to 0 within three seconds once slots are free', () => {
+		// Every node restarts after a power failure, and all callers return at once
+		// while the targets are cold. Two seconds later the targets have free slots,
+		// but callers are refused for as long as the level is up.
 		const level = createShedLevel();
-		play(level, 20, 4);
+		simulate(level, 20, 4);
 		expect(level.value()).to.be.above(2 / 3);
-		play(level, 30, 0.6);
+		simulate(level, 30, 0.6);
 		expect(level.value()).to.equal(0);
 	});
 
-	it('makes up for a wait that the arrivals do not explain', () => {
-		// A target slows down to half; its node hears of that with each run that
-		// ends, which is late, while the queue has grown already.
+	it('rises for a wait that the arrivals do not explain', () => {
+		// A target slows down to half its speed. Its node learns that only as runs
+		// end, which is late, while the queue has already grown.
 		const level = createShedLevel();
 		for (let period = 0; period < 20; period++) {
 			level.update({...healthy, wait: 200, occupancy: 1, arriving: 0.9});
@@ -81,32 +81,32 @@
 		expect(level.value()).to.be.above(0.15);
 	});
 
-	describe('while targets turn away half of what they get', () => {
-		const ill = {wait: 0, occupancy: 0.3, arriving: 0.3, declined: 0.55};
+	describe('while targets decline half of their requests', () => {
+		const unhealthy = {wait: 0, occupancy: 0.3, arriving: 0.3, declined: 0.55};
 
-		it('refuses the less important within a second, and holds that while repeats suffice', () => {
-			// Every second call to the deepest service is turned away at once although
-			// its targets have room, and the repeats that are allowed do not suffice.
-			// Nothing waits, so everything is let in, and of each request some call
-			// fails: for as long as it lasts nobody gets an answer.
+		it('refuses the less important within a second, and stays up while repeats suffice', () => {
+			// Every second call to the deepest service is declined immediately although
+			// its targets have room, and the allowed repeats don't suffice. No request
+			// waits, so everything is admitted, and some call of each request fails:
+			// for as long as this lasts, no user gets an answer.
 			const level = createShedLevel();
 			for (let period = 0; period < 10; period++) {
-				level.update({...ill, unserved: 0.4});
+				level.update({...unhealthy, unserved: 0.4});
 			}
 
 			expect(level.value()).to.be.within(0.5, 0.75);
 			for (let period = 0; period < 10; period++) {
-				level.update({...ill, unserved: 0.01});
+				level.update({...unhealthy, unserved: 0.01});
 			}
 
 			expect(level.value()).to.be.above(0.35);
 		});
 
-		it('makes a part of the payments whole where repeats suffice for no more', () => {
+		it('lets some of the payments succeed when repeats suffice for no more', () => {
 			// Payments make four calls, looks eight, each of which needs 2.2 offers; the
-			// priority of the calls themselves lies between the two. What is allowed
-			// suffices for six in ten of them; spread over all, hardly one in ten is
-			// whole and the rest has run in part.
+			// priority of the calls themselves lies between the two. The allowed repeats
+			// suffice for six in ten payments; spread over all requests, hardly one in
+			// ten succeeds and the rest has run in part.
 			const level = createShedLevel();
 			const [payments, looks, allowed] = [15, 40, 50];
 			const slices = orderLoad([
@@ -121,7 +121,7 @@
 				const looking = looks * (1 - shareOf('look'));
 				const calls = 4 * paying + 8 * looking;
 				const unserved = Math.max(0, 1 - allowed / (1.2 * calls)) * 0.55;
-				level.update({...ill, unserved});
+				level.update({...unhealthy, unserved});
 				whole = (paying * (1 - unserved) ** 4) / payments;
 			}
 
@@ -129,10 +129,10 @@
 			expect(shareOf('look')).to.be.above(0.9);
 		});
 
-		it('lets everybody in within two seconds of its end', () => {
+		it('returns to 0 within two seconds after its end', () => {
 			const level = createShedLevel();
 			for (let period = 0; period < 50; period++) {
-				level.update({...ill, unserved: 0.4});
+				level.update({...unhealthy, unserved: 0.4});
 			}
 
 			for (let period = 0; period < 20; period++) {
--- a/packages/mesh/__tests__/shed-order.spec.ts
+++ b/packages/mesh/__tests__/shed-order.spec.ts
@@ -9,8 +9,8 @@
 describe('the order in which requests are refused', () => {
 	it('refuses what costs the full service most before what costs it least', () => {
 		// A page that needs eight calls and a command that needs one have the same
-		// priority. Refused alike, commands go in numbers while each of them frees
-		// a tenth of what a page does.
+		// priority. If refused alike, many commands are refused while each frees a
+		// tenth of what a page does.
 		const slices = orderLoad([
 			{kind: 'command', priority: 2, requests: 20, cost: 70},
 			{kind: 'page', priority: 2, requests: 200, cost: 180},
--- a/packages/mesh/__tests__/target-selection.spec.ts
+++ b/packages/mesh/__tests__/target-selection.spec.ts
@@ -5,7 +5,7 @@
 	type Candidate,
 } from '../src/decisions/target-selection.js';
 
-describe('the choice of a target', () => {
+describe('target selection', () => {
 	const random = createRandom(7);
 	const candidate = (changed: Partial<Candidate>): Candidate => ({
 		node: 'a',
@@ -23,7 +23,7 @@
 			selectTarget(candidates, random, bodyBytes),
 		).filter((chosen) => chosen?.node === node).length;
 
-	it('stays near while a near target has room', () => {
+	it('prefers a near target while it has room', () => {
 		const candidates = [
 			candidate({node: 'near'}),
 			candidate({node: 'far', isNear: false, occupancy: 0}),
@@ -31,7 +31,7 @@
 		expect(count(candidates, 'near')).to.equal(300);
 	});
 
-	it('goes elsewhere before the only near target is full', () => {
+	it('selects a far target before the only near one is full', () => {
 		const candidates = [
 			candidate({node: 'near', occupancy: 0.95}),
 			candidate({node: 'far', isNear: false, occupancy: 0.3}),
@@ -39,16 +39,16 @@
 		expect(count(candidates, 'far')).to.equal(300);
 	});
 
-	it('takes the target beside its own node while that has room', () => {
+	it('selects the local target while it has room', () => {
 		const own = candidate({node: 'own', isLocal: true});
 		const other = candidate({node: 'other', occupancy: 0});
 		expect(count([own, other], 'own')).to.equal(300);
 		expect(count([{...own, occupancy: 0.9}, other], 'other')).to.equal(300);
 	});
 
-	it('does not cross between data centres while all targets are as full', () => {
-		// Demand is half above what the service can run, and every target has a
-		// queue. Crossing spares no wait then; two thirds of all calls would cross.
+	it('does not cross between data centres while all targets are equally full', () => {
+		// Demand is half above the capacity of the service, and every target has a
+		// queue. Crossing saves no wait then, yet two thirds of all calls would cross.
 		const candidates = [
 			candidate({node: 'near', occupancy: 1.3}),
 			candidate({node: 'far', isNear: false, occupancy: 1.1}),
@@ -64,7 +64,7 @@
 		).to.equal(0);
 	});
 
-	it('has a large upload wait for a near target where a small request crosses', () => {
+	it('lets a large upload wait for a near target where a small request crosses', () => {
 		const candidates = [
 			candidate({node: 'near', occupancy: 1.2}),
 			candidate({node: 'far', isNear: false, occupancy: 0.5}),
@@ -73,7 +73,7 @@
 		expect(count(candidates, 'far', 500)).to.equal(300);
 	});
 
-	it('gives work to a target that has just joined', () => {
+	it('selects a target that has just joined', () => {
 		const candidates = [
 			candidate({node: 'old'}),
 			candidate({node: 'joined', occupancy: 0}),
@@ -81,7 +81,7 @@
 		expect(count(candidates, 'joined')).to.equal(300);
 	});
 
-	it('avoids a target that fails half of its requests and seems idle for it', () => {
+	it('avoids a target that fails half of its requests and therefore seems idle', () => {
 		const grey = candidate({node: 'grey', occupancy: 0.1, failureShare: 0.5});
 		const candidates = [grey, candidate({node: 'good', occupancy: 0.4})];
 		expect(count(candidates, 'grey')).to.equal(0);
@@ -90,7 +90,7 @@
 		).to.equal(300);
 	});
 
-	it('takes failures that all targets share for those of a deeper service', () => {
+	it('attributes failures that all targets share to a deeper service', () => {
 		const candidates = [
 			candidate({node: 'near', failureShare: 0.6}),
 			candidate({node: 'far', isNear: false, failureShare: 0.6}),
@@ -98,7 +98,7 @@
 		expect(count(candidates, 'near')).to.equal(300);
 	});
 
-	it('takes a doubtful target only when there is no other', () => {
+	it('selects a doubtful target only when there is no other', () => {
 		const doubtful = candidate({node: 'doubtful', isDoubtful: true});
 		expect(
 			count([doubtful, candidate({node: 'good', occupancy: 2})], 'doubtful'),
@@ -106,10 +106,10 @@
 		expect(count([doubtful], 'doubtful')).to.equal(300);
 	});
 
-	describe('when a few targets turn slow', () => {
-		it('leaves one that is twelve times as slow to the last, though it has room', () => {
-			// Slots of the slow target are free since few go there; every view that
-			// does waits for seconds, while other targets would answer at once.
+	describe('when a few targets slow down', () => {
+		it('selects one that is twelve times slower only after all others are full', () => {
+			// The slow target has free slots because few requests go there; every view
+			// sent to it waits for seconds, while other targets would answer at once.
 			const slow = candidate({node: 'slow', occupancy: 0.2, runTime: 1200});
 			const others = [
 				candidate({node: 'good', occupancy: 0.7}),
@@ -124,7 +124,7 @@
 			).to.be.above(0);
 		});
 
-		it('leaves the own target when that one is slow', () => {
+		it('avoids the local target when it is slow', () => {
 			const own = candidate({
 				node: 'own',
 				isLocal: true,
@@ -134,7 +134,7 @@
 			expect(count([own, candidate({node: 'other'})], 'other')).to.equal(300);
 		});
 
-		it('counts no time that all of them take', () => {
+		it('ignores run time that all of them share', () => {
 			// A deeper service is slow, and with it every target that calls it.
 			const candidates = [
 				candidate({node: 'near', runTime: 3000}),
@@ -143,7 +143,7 @@
 			expect(count(candidates, 'near')).to.equal(300);
 		});
 
-		it('counts no usual difference between targets', () => {
+		it('ignores the usual difference between targets', () => {
 			const candidates = [
 				candidate({node: 'near', occupancy: 0.7, runTime: 250}),
 				candidate({node: 'far', isNear: false, occupancy: 0.3}),
--- a/packages/mesh/__tests__/weighted-rotation.spec.ts
+++ b/packages/mesh/__tests__/weighted-rotation.spec.ts
@@ -1,8 +1,8 @@
 import {expect} from 'chai';
 import {createWeightedRotation} from '../src/decisions/weighted-rotation.js';
 
-describe('a weighted rotation', () => {
-	it('keeps any run of requests within one request of the weights', () => {
+describe('weighted rotation', () => {
+	it('keeps any sequence of requests within one request of the weights', () => {
 		const rotation = createWeightedRotation([
 			{service: 'old', weight: 90},
 			{service: 'new', weight: 10},
@@ -13,7 +13,7 @@
 		}
 	});
 
-	it('never takes a service of weight 0 beside others', () => {
+	it('selects no service of weight 0 when others have a weight', () => {
 		const rotation = createWeightedRotation([
 			{service: 'old', weight: 0},
 			{service: 'new', weight: 5},
--- a/packages/mesh/src/decisions/call-graph.ts
+++ b/packages/mesh/src/decisions/call-graph.ts
@@ -1,41 +1,42 @@
 /**
- * What a request of a route costs each service, its calls and theirs included.
+ * Estimates what a request of a route costs each service, including all calls
+ * that it causes.
  *
- * Load pattern: one service deep in a call graph is full, and routes that all
- * lead to it cost it very different amounts. Which to refuse first can only be
- * told by what a whole request takes there. Each node learns what its own
- * target does (`call-profile.ts`) and tells the others; here the parts are put
- * together.
+ * Load pattern: one service deep in a call graph is full, and the routes that
+ * lead to it cost it very different amounts. Which to refuse first depends on
+ * the total cost of a request there. Each node learns the calls of its own
+ * target (`call-profile.ts`) and announces them; this module combines the
+ * profiles of all nodes.
  */
 import {minCalls, type RouteProfile} from './call-profile.js';
 
-/** The call graph as far as nodes have told of it. */
+/** The call graph, built from the profiles that nodes have announced. */
 export type CallGraph = {
-	/** Takes what a node beside the service has learnt. */
+	/** Sets the profiles announced by a node of the service; they replace its previous ones. */
 	setProfiles(node: string, service: string, profiles: RouteProfile[]): void;
-	/** Whether requests of the route at the service may make calls; so it is taken until the opposite is certain. */
+	/** Whether requests of the route at the service may make calls; true until a node is certain that they make none. */
 	mayCall(route: string, service: string): boolean;
-	/** Whether it is known which calls requests of the route at the service cause, down to those that make none. */
+	/** Whether the calls of the route at the service are known completely, down to routes that make none. */
 	isKnown(route: string, service: string): boolean;
-	/** What requests take of the slots of that service, as known now. */
+	/** Returns the cost function for that service, from the current profiles. */
 	costsOf(other: string): CostAt;
 };
 
-/** Milliseconds of slots that a request of the route at the service takes. */
+/** The milliseconds for which a request of the route at the service occupies slots. */
 export type CostAt = (route: string, service: string) => number;
 
 type Merged = {
 	runTime: number;
 	calls: Map<string, number>;
-	/** Some node is certain that it makes no calls. */
+	/** At least one node is certain that the route makes no calls. */
 	isLeaf: boolean;
 };
 
-/** Creates a graph of which nothing is known. */
+/** Creates an empty graph. */
 export function createCallGraph(): CallGraph {
 	/** By service, then by node. */
-	const told = new Map<string, Map<string, RouteProfile[]>>();
-	/** By service, then by route; forgotten when a node tells anew. */
+	const announced = new Map<string, Map<string, RouteProfile[]>>();
+	/** By service, then by route; deleted when a node of the service announces new profiles. */
 	const merged = new Map<string, Map<string, Merged>>();
 
 	const routesAt = (service: string): Map<string, Merged> => {
@@ -44,19 +45,19 @@
 			return known;
 		}
 
-		const routes = mergeProfiles([...(told.get(service)?.values() ?? [])]);
+		const routes = mergeProfiles([...(announced.get(service)?.values() ?? [])]);
 		merged.set(service, routes);
 		return routes;
 	};
 
 	const servicesOf = (route: string): string[] =>
-		[...told.keys()].filter((service) => routesAt(service).has(route));
+		[...announced.keys()].filter((service) => routesAt(service).has(route));
 
 	/**
-	 * Each route at each service is worked out once, and one that is met while it
-	 * is worked out costs nothing more: a graph in which routes seem to call each
-	 * other would else be walked once for each of its paths, of which there are
-	 * more than a node has time for.
+	 * The cost of each route at each service is calculated once. A route that
+	 * recurs during its own calculation adds nothing, because in a graph in which
+	 * routes seem to call each other, the number of paths is too large to follow
+	 * them all.
 	 */
 	const createCosts = (other: string): CostAt => {
 		const known = new Map<string, number>();
@@ -68,15 +69,15 @@
 			}
 
 			known.set(key, 0);
-			const worked = workOut(route, service, other, costAt);
-			known.set(key, worked);
-			return worked;
+			const calculated = calculate(route, service, other, costAt);
+			known.set(key, calculated);
+			return calculated;
 		};
 
 		return costAt;
 	};
 
-	const workOut = (
+	const calculate = (
 		route: string,
 		service: string,
 		other: string,
@@ -98,32 +99,32 @@
 		return cost;
 	};
 
-	/** A route that is met again on its own way down says nothing more. */
+	/** A route that recurs on its own path adds no further condition. */
 	const isKnownFrom = (
 		route: string,
 		service: string,
-		met: Set<string>,
+		visited: Set<string>,
 	): boolean => {
 		const profile = routesAt(service).get(route);
-		if (!profile || met.has(route)) {
+		if (!profile || visited.has(route)) {
 			return profile !== undefined;
 		}
 
-		met.add(route);
+		visited.add(route);
 		if (sum(profile.calls.values()) < minCalls) {
 			return profile.isLeaf;
 		}
 
 		return [...profile.calls.keys()].every((called) =>
-			servicesOf(called).some((next) => isKnownFrom(called, next, met)),
+			servicesOf(called).some((next) => isKnownFrom(called, next, visited)),
 		);
 	};
 
 	return {
 		setProfiles(node, service, profiles) {
-			const nodes = told.get(service) ?? new Map<string, RouteProfile[]>();
+			const nodes = announced.get(service) ?? new Map<string, RouteProfile[]>();
 			nodes.set(node, profiles);
-			told.set(service, nodes);
+			announced.set(service, nodes);
 			merged.delete(service);
 		},
 		isKnown: (route, service) => isKnownFrom(route, service, new Set()),
@@ -135,7 +136,7 @@
 	};
 }
 
-/** The mean over the nodes that know a route. */
+/** Averages the profiles over the nodes that have each route. */
 function mergeProfiles(lists: RouteProfile[][]): Map<string, Merged> {
 	const merged = new Map<string, Merged>();
 	const counts = new Map<string, number>();
--- a/packages/mesh/src/decisions/call-profile.ts
+++ b/packages/mesh/src/decisions/call-profile.ts
@@ -1,113 +1,111 @@
 /**
- * Learns which calls a request of each route causes at the target beside a
- * node, and how long the target is busy with it.
+ * Estimates which calls a request of each route causes at the local target,
+ * and for how long it occupies a slot.
  *
  * Load pattern: a service runs routes that call an overloaded service deeper
- * down and routes that call nobody. Its calls come over one connection pool
- * and don't say for which request they are made. Unless the two are told
- * apart, a download is refused for a service that it never uses.
+ * down and routes that make no calls. Calls arrive over one connection pool and
+ * don't identify the request that makes them. Unless the routes are
+ * distinguished, a download is refused for a service that it never uses.
  *
- * In each second the target begins so many requests of each route and makes so
- * many calls to each route. The calls are the sum, over the routes that ran, of
- * requests times calls for each request, which recursive least squares solves
- * as the mix changes from second to second. Calls are first put down to the
- * route that runs most often, and to another only as its requests show it:
- * under overload calls come long after their requests, so what does not add up
- * counts as noise, and only what stands out of it is told. What was learnt long
- * ago is forgotten slowly, so that a change of the graph is followed within a
- * minute.
+ * In each period of a second, the calls to a route are the sum, over the routes
+ * that ran, of requests times calls per request. Recursive least squares solves
+ * this as the mix changes. Calls are first attributed to the route with the most
+ * requests, and to another only as the data shows it. Under overload calls come
+ * long after their requests, so deviations count as noise, and only calls that
+ * exceed it are reported. Old data decays slowly, so that a change of the graph
+ * is followed within a minute.
  */
 
-/** What a request of a route causes at the service where it runs. */
+/** The effects of a request of a route at the service that runs it. */
 export type RouteProfile = {
 	route: string;
-	/** Milliseconds that it takes a slot, its calls included. */
+	/** Milliseconds for which it occupies a slot, including its calls. */
 	runTime: number;
-	/** Calls for each request. */
+	/** Calls per request. */
 	calls: Array<{route: string; count: number}>;
-	/** It is certain that it makes no calls; a route of which little was seen is not. */
+	/** It is certain that the route makes no calls; false while too few requests have been recorded. */
 	isLeaf: boolean;
 };
 
-/** The profiles at one target. */
+/** The call profiles of one target. */
 export type CallProfile = {
 	recordRun(route: string): void;
 	recordRunTime(route: string, duration: number): void;
 	recordCall(route: string): void;
-	/** To be called in each period; true when the profiles have changed enough to be told. */
+	/** Updates the estimates once per period; true when the profiles have changed enough to be announced. */
 	update(): boolean;
 	profiles(): RouteProfile[];
 };
 
-/** Calls for each request below which a route is taken for one that makes none. */
+/** Calls per request below which a route counts as making none. */
 export const minCalls = 0.3;
 
-/** Milliseconds of a period: long against a request, so that few calls fall into another period than their request. */
+/** Milliseconds of a period: long compared with a request, so that few calls fall into a later period than their request. */
 export const profilePeriod = 1000;
-/** Routes that are told apart; more at one target would make each update slow. */
-const mostRoutes = 12;
-/** The part of what is known that each period leaves; some twenty periods count. */
+/** The maximum number of routes that are distinguished; more would make each update slow. */
+const maxRoutes = 12;
+/** The decay factor of the data per period, which makes about twenty periods count. */
 const memory = 0.95;
-/** The same while the calls are off in one direction: the graph has changed, and what was known is of little use. */
-const memoryOfChange = 0.7;
-/** The variance of the calls of a request before any was seen. */
-const firstVariance = 4;
-/** The variance that a period has at least, in calls squared. */
-const leastNoise = 4;
-/** The variance for each call made: calls that fall into another period than their request. */
-const noiseOfCall = 0.25;
-/** The weight of the latest period in the noise that was seen. */
+/** The decay factor while the errors are biased in one direction: the graph has changed, and the old data is of little use. */
+const decayAfterChange = 0.7;
+/** The initial variance of the calls per request. */
+const initialVariance = 4;
+/** The minimum variance of a period, in calls squared. */
+const minNoise = 4;
+/** The variance added per call, for calls that fall into a later period than their request. */
+const noisePerCall = 0.25;
+/** The weight of the latest period in the average error. */
 const noiseWeight = 0.2;
-/** The weight of a new duration. */
+/** The weight of a new duration in its moving average. */
 const durationWeight = 0.05;
-/** Requests of a route, and periods with any, from which it may count as one that makes no calls. */
-const leastRuns = 20;
-const leastPeriods = 3;
-/** The part of the uncertainty that is taken off the calls that are told. */
-const toldUncertainty = 0.6;
-/** A change of calls for each request that is worth telling. */
-const toldChange = 0.25;
-/** A change of the run time, as a part of it, that is worth telling. */
-const toldTimeChange = 0.3;
+/** The minimum numbers of requests, and of periods with any, for a route to count as making no calls. */
+const minRuns = 20;
+const minPeriods = 3;
+/** The fraction of the standard deviation that is subtracted from the announced calls. */
+const announcedUncertainty = 0.6;
+/** The change in calls per request that is announced. */
+const announcedChange = 0.25;
+/** The relative change of the run time that is announced. */
+const announcedTimeChange = 0.3;
 
 type Estimate = {
-	/** Calls for each request, by position of the route. */
+	/** Calls per request, by position of the route. */
 	counts: number[];
 	/** Calls in this period. */
-	made: number;
-	/** What did not add up lately: its mean, and the mean of its square. */
+	callCount: number;
+	/** The moving averages of the error and of its square. */
 	meanError: number;
 	meanSquare: number;
 };
 
-/** Creates the profiles of a target that has run nothing. */
+/** Creates the profiles of a target without requests. */
 export function createCallProfile(): CallProfile {
 	const routes: string[] = [];
-	const begun: number[] = [];
+	const requestCounts: number[] = [];
 	const runTimes: number[] = [];
-	const seen: Array<{runs: number; periods: number}> = [];
-	/** The uncertainty of the counts, the same for each called route. */
+	const totals: Array<{runs: number; periods: number}> = [];
+	/** The covariance of the counts, the same for each called route. */
 	let covariance: number[][] = [];
 	const estimates = new Map<string, Estimate>();
-	let told: RouteProfile[] = [];
+	let announced: RouteProfile[] = [];
 
 	const positionOf = (route: string): number => {
 		const known = routes.indexOf(route);
-		if (known !== -1 || routes.length >= mostRoutes) {
+		if (known !== -1 || routes.length >= maxRoutes) {
 			return known;
 		}
 
 		routes.push(route);
-		begun.push(0);
+		requestCounts.push(0);
 		runTimes.push(0);
-		seen.push({runs: 0, periods: 0});
+		totals.push({runs: 0, periods: 0});
 		for (const row of covariance) {
 			row.push(0);
 		}
 
 		covariance.push(
 			routes.map((_, index) =>
-				index === routes.length - 1 ? firstVariance : 0,
+				index === routes.length - 1 ? initialVariance : 0,
 			),
 		);
 		for (const {counts} of estimates.values()) {
@@ -120,28 +118,28 @@
 	};
 
 	/**
-	 * What is seen less the uncertainty of it: a route that runs seldom beside
-	 * one that makes many calls would else be taken to make some by chance.
+	 * The estimate minus its standard deviation: otherwise a route with few
+	 * requests next to one with many calls would be attributed some by chance.
 	 */
-	const sureCount = (index: number, count: number) =>
+	const lowerBound = (index: number, count: number) =>
 		Math.max(0, count - Math.sqrt(covariance[index]![index]!));
 
-	/** For what a request costs a mean is worth more than a bound, which hides half of the calls for seconds. */
+	/** A cost needs a likely value rather than a lower bound, which hides half of the calls for seconds. */
 	const likelyCount = (index: number, count: number) =>
 		Math.max(
 			0,
-			count - toldUncertainty * Math.sqrt(covariance[index]![index]!),
+			count - announcedUncertainty * Math.sqrt(covariance[index]![index]!),
 		);
 
-	/** Not while little was seen: a request that has just begun may still make its calls. */
+	/** False while few requests have been recorded, because requests that have just started may still make their calls. */
 	const isLeaf = (index: number): boolean => {
 		let calls = 0;
 		for (const {counts} of estimates.values()) {
-			calls += sureCount(index, counts[index] ?? 0);
+			calls += lowerBound(index, counts[index] ?? 0);
 		}
 
-		const {runs, periods} = seen[index]!;
-		return calls < minCalls && runs >= leastRuns && periods >= leastPeriods;
+		const {runs, periods} = totals[index]!;
+		return calls < minCalls && runs >= minRuns && periods >= minPeriods;
 	};
 
 	const profiles = (): RouteProfile[] =>
@@ -157,61 +155,61 @@
 				.filter(({count}) => count > 0),
 		}));
 
-	/** Puts the first calls to a route down to the route that ran most. */
-	const assume = (estimate: Estimate) => {
-		const most = Math.max(...begun);
-		const position = begun.indexOf(most);
-		estimate.counts = begun.map((_, index) =>
-			index === position ? estimate.made / most : 0,
+	/** Attributes the first calls to a route to the route with the most requests. */
+	const attributeFirstCalls = (estimate: Estimate) => {
+		const max = Math.max(...requestCounts);
+		const position = requestCounts.indexOf(max);
+		estimate.counts = requestCounts.map((_, index) =>
+			index === position ? estimate.callCount / max : 0,
 		);
 	};
 
-	const noteSeen = () => {
-		for (const [index, count] of begun.entries()) {
-			seen[index]!.runs += count;
-			seen[index]!.periods += count > 0 ? 1 : 0;
+	const updateTotals = () => {
+		for (const [index, count] of requestCounts.entries()) {
+			totals[index]!.runs += count;
+			totals[index]!.periods += count > 0 ? 1 : 0;
 		}
 	};
 
 	const learn = () => {
-		if (begun.every((count) => count === 0)) {
+		if (requestCounts.every((count) => count === 0)) {
 			return;
 		}
 
 		for (const estimate of estimates.values()) {
 			if (estimate.counts.length === 0) {
-				assume(estimate);
+				attributeFirstCalls(estimate);
 			}
 		}
 
-		const spread = covariance.map((row) => dot(row, begun));
+		const projection = covariance.map((row) => dot(row, requestCounts));
 		const errors = new Map<Estimate, number>();
-		let noise = leastNoise;
+		let noise = minNoise;
 		for (const estimate of estimates.values()) {
-			const error = estimate.made - dot(estimate.counts, begun);
+			const error = estimate.callCount - dot(estimate.counts, requestCounts);
 			errors.set(estimate, error);
 			noise = Math.max(
 				noise,
-				noteError(estimate, error),
-				noiseOfCall * estimate.made,
+				recordError(estimate, error),
+				noisePerCall * estimate.callCount,
 			);
 		}
 
-		const hasChanged = [...errors.keys()].some((one) => isOff(one));
-		const kept = hasChanged ? memoryOfChange : memory;
-		const scale = noise + dot(begun, spread);
+		const hasChanged = [...errors.keys()].some((one) => isBiased(one));
+		const decay = hasChanged ? decayAfterChange : memory;
+		const scale = noise + dot(requestCounts, projection);
 		for (const [estimate, error] of errors) {
 			estimate.counts = estimate.counts.map(
-				(count, index) => count + (spread[index]! / scale) * error,
+				(count, index) => count + (projection[index]! / scale) * error,
 			);
 		}
 
 		covariance = covariance.map((row, rowIndex) =>
 			row.map((value, columnIndex) => {
 				const known =
-					value - (spread[rowIndex]! * spread[columnIndex]!) / scale;
+					value - (projection[rowIndex]! * projection[columnIndex]!) / scale;
 				return rowIndex === columnIndex
-					? Math.min(firstVariance, known / kept)
+					? Math.min(initialVariance, known / decay)
 					: known;
 			}),
 		);
@@ -221,7 +219,7 @@
 		recordRun(route) {
 			const position = positionOf(route);
 			if (position !== -1) {
-				begun[position]!++;
+				requestCounts[position]!++;
 			}
 		},
 		recordRunTime(route, duration) {
@@ -235,41 +233,46 @@
 		recordCall(route) {
 			const known = estimates.get(route);
 			if (known) {
-				known.made++;
+				known.callCount++;
 				return;
 			}
 
-			estimates.set(route, {counts: [], made: 1, meanError: 0, meanSquare: 0});
+			estimates.set(route, {
+				counts: [],
+				callCount: 1,
+				meanError: 0,
+				meanSquare: 0,
+			});
 		},
 		update() {
 			learn();
-			noteSeen();
-			begun.fill(0);
+			updateTotals();
+			requestCounts.fill(0);
 			for (const estimate of estimates.values()) {
-				estimate.made = 0;
+				estimate.callCount = 0;
 			}
 
 			const current = profiles();
-			const isNews = differs(current, told);
-			told = isNews ? current : told;
-			return isNews;
+			const isChanged = isDifferent(current, announced);
+			announced = isChanged ? current : announced;
+			return isChanged;
 		},
 		profiles,
 	};
 }
 
-/** Takes what did not add up; gives its variance. What is off in one direction for long is a change of the graph and no noise. */
-function noteError(estimate: Estimate, error: number): number {
+/** Records an error and returns its variance. Errors biased in one direction for long are a change of the graph, not noise. */
+function recordError(estimate: Estimate, error: number): number {
 	estimate.meanError += (error - estimate.meanError) * noiseWeight;
 	estimate.meanSquare += (error * error - estimate.meanSquare) * noiseWeight;
 	return estimate.meanSquare - estimate.meanError * estimate.meanError;
 }
 
-function isOff({meanError, meanSquare}: Estimate): boolean {
+function isBiased({meanError, meanSquare}: Estimate): boolean {
 	return meanError * meanError > meanSquare / 2;
 }
 
-function differs(left: RouteProfile[], right: RouteProfile[]): boolean {
+function isDifferent(left: RouteProfile[], right: RouteProfile[]): boolean {
 	if (left.length !== right.length) {
 		return true;
 	}
@@ -283,9 +286,9 @@
 			profile.route !== other.route ||
 			profile.isLeaf !== other.isLeaf ||
 			profile.calls.length !== other.calls.length ||
-			timeChange > toldTimeChange * Math.max(1, other.runTime) ||
+			timeChange > announcedTimeChange * Math.max(1, other.runTime) ||
 			profile.calls.some(
-				({route, count}) => Math.abs(count - countOf(route)) > toldChange,
+				({route, count}) => Math.abs(count - countOf(route)) > announcedChange,
 			)
 		);
 	});
--- a/packages/mesh/src/decisions/inner-routes.ts
+++ b/packages/mesh/src/decisions/inner-routes.ts
@@ -1,52 +1,54 @@
 /**
- * Tells the routes of targets' own calls from those of callers' new requests.
+ * Distinguishes the routes of calls between services from those of callers'
+ * new requests.
  *
- * Load pattern: overload deep in a call graph. New work has to be refused
- * before it begins, and calls of work that has begun have to go on; taken for
- * one another, begun work is wasted and new work is let in to be wasted. Both
- * come from the same VM over the same listener and look alike.
+ * Load pattern: overload deep in a call graph. New requests should be refused
+ * before they start, and calls of running requests should continue. If they are
+ * confused, work in progress is wasted, or new requests are admitted whose work
+ * is wasted. Both arrive from the same VM over the same listener and look alike.
  *
- * But callers are everywhere, and a call comes only from the services whose
- * targets make it. So nodes tell each other which routes they were asked for:
- * a route that the VMs of at most half of the services ask for is one of
- * calls. Times and addresses don't tell them apart: calls have times of their
- * own, and callers share the VM's address.
+ * Callers are everywhere, but a call comes only from the services whose targets
+ * make it. So nodes share the routes that were requested from them, and a route
+ * that is requested at the nodes of at most half of the services is one of
+ * calls. Times and addresses don't help: calls have deadlines of their own, and
+ * callers share the VM's address.
  */
 
-/** What this node knows of who asks for which route. */
+/** The routes requested at this node and at the nodes of other services. */
 export type InnerRoutes = {
-	/** Takes note of a request here; true when the others have to be told of its route. */
+	/** Records a local request; true when its route has to be announced to the other nodes. */
 	record(route: string): boolean;
-	/** The routes that this node was asked for. */
+	/** The routes that were requested at this node. */
 	requestedRoutes(): string[];
-	/** The routes that the nodes beside a service were asked for. */
+	/** Adds routes that were requested at the nodes of a service. */
 	addPeerRoutes(service: string, routes: readonly string[]): void;
+	/** Whether the route is one of calls between services. */
 	isInner(route: string): boolean;
 };
 
-/** Requests from which a route counts as asked for: single ones come from operators' checks. */
-const leastRequests = 3;
-/** Services without which nothing can be said: calls of one of two look like requests of half of the callers. */
-const leastServices = 3;
+/** The number of requests from which a route counts as requested: operators' checks cause single ones. */
+const minRequests = 3;
+/** The minimum number of services for a decision: with two, calls of one of them look like requests of half of the callers. */
+const minServices = 3;
 
-/** Creates the knowledge of a node beside that service. */
+/** Creates the record of a node whose target belongs to `ownService`. */
 export function createInnerRoutes(ownService: string): InnerRoutes {
 	const counts = new Map<string, number>();
-	const askers = new Map<string, Set<string>>();
+	const requestingServices = new Map<string, Set<string>>();
 	const services = new Set<string>();
 
 	const add = (service: string, route: string) => {
 		services.add(service);
-		const known = askers.get(route) ?? new Set<string>();
+		const known = requestingServices.get(route) ?? new Set<string>();
 		known.add(service);
-		askers.set(route, known);
+		requestingServices.set(route, known);
 	};
 
 	return {
 		record(route) {
 			const count = (counts.get(route) ?? 0) + 1;
 			counts.set(route, count);
-			if (count !== leastRequests) {
+			if (count !== minRequests) {
 				return false;
 			}
 
@@ -55,7 +57,7 @@
 		},
 		requestedRoutes: () =>
 			[...counts].flatMap(([route, count]) =>
-				count >= leastRequests ? [route] : [],
+				count >= minRequests ? [route] : [],
 			),
 		addPeerRoutes(service, routes) {
 			for (const route of routes) {
@@ -63,11 +65,9 @@
 			}
 		},
 		isInner(route) {
-			const known = askers.get(route)?.size ?? 0;
+			const known = requestingServices.get(route)?.size ?? 0;
 			return (
-				services.size >= leastServices &&
-				known > 0 &&
-				known <= services.size / 2
+				services.size >= minServices && known > 0 && known <= services.size / 2
 			);
 		},
 	};
--- a/packages/mesh/src/decisions/mesh-policy.ts
+++ b/packages/mesh/src/decisions/mesh-policy.ts
@@ -1,13 +1,13 @@
 /**
- * The decisions of a node as one exchangeable thing, so that ours can be
- * measured beside a naive one under the same transport, and each mechanism of
- * ours beside the rest without it.
+ * The decisions of a node as one replaceable object, so that the default policy
+ * can be compared with a naive one over the same transport, and each of its
+ * mechanisms with a policy that lacks it.
  */
 import type {Random} from '@egretspoke/shared';
 import {err, ok, type Result} from 'neverthrow';
 import {selectTarget, type Candidate} from './target-selection.js';
 
-/** Mechanisms that can be switched off by name, with what goes when they do. */
+/** Mechanisms that can be disabled by name, each with its effect. */
 export const mechanisms = {
 	offerAgain: 'a target that declines a request is offered it again',
 	levelOfDeclined: 'the level rises while requests end declined',
@@ -20,37 +20,38 @@
 
 export type Mechanism = keyof typeof mechanisms;
 
-/** What a node decides by. */
+/** The decisions of a node. */
 export type MeshPolicy = {
-	/** Whether a request may be sent to a second target at all. */
+	/** Whether a request may be sent to a second target. */
 	mayRetry: boolean;
-	/** Whether the mechanism is in use. */
+	/** Whether the mechanism is enabled. */
 	has(mechanism: Mechanism): boolean;
+	/** Selects a target for a request; undefined when there are no candidates. */
 	select<T extends Candidate>(
 		candidates: T[],
 		random: Random,
 		bodyBytes: number,
 	): T | undefined;
-	/** How many requests a target with so many slots is handed at once. */
+	/** How many requests a target with that many slots is handed at once. */
 	limitOf(slots: number): number;
 };
 
 /**
- * The part of a target's slots that is used. Some targets slow down by a third
- * when nearly all of their slots are taken, which costs more than the slots
- * left free.
+ * The fraction of a target's slots that is used. Some targets slow down by a
+ * third when nearly all of their slots are taken, which costs more than the
+ * free slots.
  */
-const usedPart = 0.95;
+const usedSlotRatio = 0.95;
 
-/** Ours. */
+/** The default policy, with all mechanisms. */
 export const egretspokePolicy: MeshPolicy = {
 	has: () => true,
 	select: selectTarget,
-	limitOf: (slots) => Math.max(1, Math.floor(slots * usedPart)),
+	limitOf: (slots) => Math.max(1, Math.floor(slots * usedSlotRatio)),
 	mayRetry: true,
 };
 
-/** A plain forwarder: any ready target, no admission, no second try. */
+/** A plain forwarder: a random target, no admission control, no retry. */
 export const naivePolicy: MeshPolicy = {
 	has: () => false,
 	select: (candidates, random) =>
@@ -61,13 +62,13 @@
 	mayRetry: false,
 };
 
-/** By name, as settings choose them. */
+/** Policies by the name that the settings use. */
 export const meshPolicies = {
 	egretspoke: egretspokePolicy,
 	naive: naivePolicy,
 } as const satisfies Record<string, MeshPolicy>;
 
-/** The policy without some mechanisms, named with commas between; the error lists the names that are none. */
+/** Returns the policy without the named mechanisms (comma-separated); the error lists unknown names. */
 export function withoutMechanisms(
 	policy: MeshPolicy,
 	names: string,
--- a/packages/mesh/src/decisions/name-rank.ts
+++ b/packages/mesh/src/decisions/name-rank.ts
@@ -1,10 +1,10 @@
-/** Stable pseudo-random orders of names: the same on every node and after every restart. */
+/** Stable pseudo-random orders of names, identical on every node and after every restart. */
 import {createHash} from 'node:crypto';
 
-/** The place of each name in one order, from 0 up to, not including, 2 to the 32nd. */
+/** The position of a name in one order: an integer from 0 to 2 to the 32nd, exclusive. */
 export type NameRank = (name: string) => number;
 
-/** Creates an order; each seed has its own. */
+/** Creates an order; each seed gives a different one. */
 export function createNameRank(seed: string): NameRank {
 	const known = new Map<string, number>();
 	return (name) => {
--- a/packages/mesh/src/decisions/offer-budget.ts
+++ b/packages/mesh/src/decisions/offer-budget.ts
@@ -1,79 +1,79 @@
 /**
- * How often a target that declines work may be offered it again.
+ * Bounds how often declined requests are offered to a target again.
  *
- * Load pattern: the targets of a service turn away half of what they get, at
- * once and although they have room. A request that makes eight such calls is
- * then whole in one of 400 cases. A call that was declined has not run and can
- * be offered again right away, so with a few offers for each call most requests
- * are whole again; without a bound, targets that turn away everything would get
- * many times their load and never recover.
+ * Load pattern: the targets of a service decline half of their requests, at
+ * once and although they have room. A request that makes eight such calls then
+ * succeeds in one of 400 cases. A declined call has not run and can be offered
+ * again immediately, so a few offers per call let most requests succeed; but
+ * without a bound, targets that decline everything would get many times their
+ * load and never recover.
  *
- * The bound is on the arrivals beyond the first of each request, over all nodes
- * of a service. Only the node beside a target sees everything that its target
- * gets: first arrivals, those that another node sent again, and calls made by
- * work that is itself a repeat further up. So each such node keeps to the
- * bound for its own target alone, and the sum over the targets keeps to it
- * however the load is spread. The bound looks at spans of any position, and at
- * the requests of the span itself or of the one before, whichever has more.
- * Nodes can't know which that is over all of them, so each takes the same mean
- * of its two, which is within the larger sum for every spread. The one before
- * weighs more: while targets decline, less is let in than before.
+ * The bound limits arrivals beyond the first of each request, over all nodes of
+ * a service. Only the target's node sees all of its arrivals: first ones,
+ * retries by other nodes, and calls of requests that are repeats themselves. So
+ * each node keeps the bound for its own target, and the sum over the targets
+ * keeps it for every distribution of the load. The bound applies to windows at
+ * any position, and to the requests of the window itself or of the one before,
+ * whichever has more. No node knows which that is over all nodes, so each uses
+ * the same weighted mean of its two, which never exceeds the larger sum. The
+ * window before weighs more: while targets decline, fewer requests are admitted
+ * than before.
  */
 
 /** The bound for one target. */
 export type OfferBudgetOptions = {
-	/** Repeats allowed for each request. */
+	/** Allowed repeats per request. */
 	ratio: number;
-	/** Milliseconds of the span that the bound is about. */
+	/** The length of the window to which the bound applies, in milliseconds. */
 	window: number;
 };
 
-/** The budget of one target. */
+/** The budget of one target; times are in milliseconds of the steady clock. */
 export type OfferBudget = {
-	/** The target gets a request for the first time here; of it, the share from 0 to 1 is a repeat of work further up or elsewhere. */
+	/** Records the first arrival of a request here; the given share of it, from 0 to 1, is a repeat of other work. */
 	countArrival(repeatShare: number, now: number): void;
-	/** Takes one more offer; false when none is left. The part from 0 to 1 is what may be spent of the bound. */
-	take(part: number, now: number): boolean;
+	/** Takes an offer from the budget, of which the given share, from 0 to 1, may be spent; false when it is exhausted. */
+	take(share: number, now: number): boolean;
 };
 
-/** The part of the bound that is spent at a service that calls nothing; the rest is for what is not seen, such as an arrival in a neighbouring slot. */
+/** The share of the bound at a service that makes no calls; the rest covers repeats that are not seen, such as an arrival in a neighbouring slot. */
 export const leafOfferShare = 0.9;
 /**
- * The part at a service that makes calls. The calls of a request that is run
- * by a repeated offer count as repeats further down, where the budget is worth
- * more: a leaf's repeat costs one run, one here a tree of them.
+ * The share of the bound at a service that makes calls. The calls of a repeated
+ * request count as repeats at the services below, where the budget is worth
+ * more: a repeat at a leaf costs one run, a repeat here a tree of runs.
  */
 export const nonLeafOfferShare = 0.25;
 
 /** Slots in which a window is counted. */
 const slotsPerWindow = 20;
-/** The weight of the window before in the bound of one. */
-const weightOfBefore = 0.75;
+/** The weight of the window before in the bound of a window. */
+const previousWindowWeight = 0.75;
 /**
- * How much faster than evenly over a window the budget may be spent. When all
- * targets begin to decline, nearly all work still comes; spent on it within a
- * second, nothing would be left for the important part that is still let in
- * once the rest is refused.
+ * The maximum spending rate, as a multiple of an even rate over the window. When
+ * all targets begin to decline, nearly all requests still arrive. If the budget
+ * were spent on them within a second, nothing would be left for the important
+ * requests that are still admitted once the others are refused.
  */
-const spendingPace = 1.25;
-/** The part of a window whose share can be spent at once after a time without repeats. */
-const burstPart = 0.05;
-/** Offers that can always be spent at once, so that a target with little work has any. */
-const leastBurst = 2;
+const maxSpendingRate = 1.25;
+/** The fraction of a window's budget that can be spent at once after a time without repeats. */
+const burstShare = 0.05;
+/** The minimum number of offers that can be spent at once, so that a target with little load has any. */
+const minBurst = 2;
 
 type Slot = {index: number; requests: number; repeats: number};
 
-/** Creates a budget of a target that has got nothing yet. */
+/** Creates the budget of a target without arrivals. */
 export function createOfferBudget({
 	ratio,
 	window,
 }: OfferBudgetOptions): OfferBudget {
-	const slotTime = window / slotsPerWindow;
-	/** The latest two windows, newest last. */
+	const slotDuration = window / slotsPerWindow;
+	/** The slots of the latest two windows, newest last. */
 	let slots: Slot[] = [];
 
 	const currentSlot = (now: number): Slot => {
-		const index = Math.floor(now / slotTime);
+		const index = Math.floor(now / slotDuration);
 		const last = slots.at(-1);
 		if (last && last.index >= index) {
 			return last;
@@ -85,7 +85,7 @@
 		return slot;
 	};
 
-	const sumSince = (
+	const sumBetween = (
 		from: number,
 		to: number,
 		kind: 'requests' | 'repeats',
@@ -98,30 +98,34 @@
 		return total;
 	};
 
-	/** What a window that begins with the slot may hold in repeats, by what is known until now. */
-	const boundOf = (start: number, part: number): number =>
-		part *
+	/** The maximum number of repeats in a window that begins with the slot, by the arrivals counted so far. */
+	const boundOf = (start: number, share: number): number =>
+		share *
 		ratio *
-		((1 - weightOfBefore) *
-			sumSince(start, start + slotsPerWindow, 'requests') +
-			weightOfBefore * sumSince(start - slotsPerWindow, start, 'requests'));
-
-	/** Offers that the pace allows now. */
-	let paced = leastBurst;
-	let pacedAt = Number.NEGATIVE_INFINITY;
-	const refill = (now: number, part: number) => {
-		const bound = boundOf(currentSlot(now).index - slotsPerWindow + 1, part);
-		const most = Math.max(leastBurst, burstPart * bound);
-		const elapsed = Math.min(window, now - pacedAt);
-		paced = Math.min(most, paced + (elapsed / window) * spendingPace * bound);
-		pacedAt = now;
+		((1 - previousWindowWeight) *
+			sumBetween(start, start + slotsPerWindow, 'requests') +
+			previousWindowWeight *
+				sumBetween(start - slotsPerWindow, start, 'requests'));
+
+	/** Offers that the spending rate currently allows. */
+	let available = minBurst;
+	let refilledAt = Number.NEGATIVE_INFINITY;
+	const refill = (now: number, share: number) => {
+		const bound = boundOf(currentSlot(now).index - slotsPerWindow + 1, share);
+		const max = Math.max(minBurst, burstShare * bound);
+		const elapsed = Math.min(window, now - refilledAt);
+		available = Math.min(
+			max,
+			available + (elapsed / window) * maxSpendingRate * bound,
+		);
+		refilledAt = now;
 	};
 
-	const isWithin = (index: number, part: number): boolean => {
+	const isWithinBound = (index: number, share: number): boolean => {
 		let repeats = 1;
 		for (let start = index; start > index - slotsPerWindow; start--) {
-			repeats += sumSince(start, start + 1, 'repeats');
-			if (repeats > boundOf(start, part)) {
+			repeats += sumBetween(start, start + 1, 'repeats');
+			if (repeats > boundOf(start, share)) {
 				return false;
 			}
 		}
@@ -135,14 +139,14 @@
 			slot.requests += 1 - repeatShare;
 			slot.repeats += repeatShare;
 		},
-		take(part, now) {
+		take(share, now) {
 			const slot = currentSlot(now);
-			refill(now, part);
-			if (paced < 1 || !isWithin(slot.index, part)) {
+			refill(now, share);
+			if (available < 1 || !isWithinBound(slot.index, share)) {
 				return false;
 			}
 
-			paced--;
+			available--;
 			slot.repeats++;
 			return true;
 		},
--- a/packages/mesh/src/decisions/peer-subset.ts
+++ b/packages/mesh/src/decisions/peer-subset.ts
@@ -1,42 +1,42 @@
 /**
- * Which nodes of a service a node keeps links to.
+ * Selects the nodes of a service to which a node keeps links.
  *
  * Load pattern: a fleet of hundreds of nodes in which each links to each. A
- * restart of one then costs a handshake with all the others, a restart of all
- * the square of that, and every report of load is sent to everybody. So each
- * node works with a bounded subset: the nodes of its own data centre first, the
- * rest in others, so that the loss of a data centre leaves some. The order is
- * that of rendezvous hashing (Thaler and Ravishankar, 1998): every node has its
- * own, all members come first equally often, and a member that joins or leaves
- * changes a subset by at most itself and the one that takes its place.
+ * restart of one node then costs a handshake with all others, a restart of all
+ * nodes the square of that, and every load report is sent to every node. So
+ * each node uses a bounded subset: first nodes of its own data centre, the rest
+ * in others, so that some remain when a data centre is lost. The order is that
+ * of rendezvous hashing (Thaler and Ravishankar, 1998): every node has its own,
+ * all members come first equally often, and a member that joins or leaves
+ * changes a subset by at most itself and the one that replaces it.
  */
 import type {NameRank} from './name-rank.js';
 
-/** A member of a service as the choice sees it. */
+/** A member of a service as a candidate for a subset. */
 export type SubsetMember = {
 	node: string;
-	/** It is in this node's data centre. */
+	/** It is in the same data centre as this node. */
 	isNear: boolean;
-	/** It could not be reached for a while; it comes after all others. */
+	/** It has been unreachable for some time; it ranks after all reachable members. */
 	isUnreachable: boolean;
 };
 
-/** How many members that can take work are wanted. */
+/** How many members that can take work a subset should have. */
 export type SubsetSize = {
-	/** In this node's data centre, if there are as many. */
+	/** In the same data centre, if it has that many. */
 	near: number;
-	/** In all. */
+	/** In total. */
 	total: number;
 };
 
-/** The subset for a service that callers of this node ask for. */
+/** The subset for a service that callers of this node request. */
 export const activeSubsetSize: SubsetSize = {near: 5, total: 8};
-/** The subset for a service that nobody asks for here: enough to hear of its state and to begin at once. */
+/** The subset for a service without requests here: enough to receive its state and to start immediately. */
 export const idleSubsetSize: SubsetSize = {near: 3, total: 5};
-/** Members that are tried for each one that is wanted; the others of a service that is down are left alone. */
-const triedForEach = 3;
+/** Candidates per wanted member; beyond them, the members of a service that is down are not tried. */
+const candidatesPerMember = 3;
 
-/** Members in the order in which a node with the ranks takes them. */
+/** Sorts members by reachability, then by the ranks of this node. */
 export function rankMembers<T extends SubsetMember>(
 	rankOf: NameRank,
 	members: readonly T[],
@@ -49,18 +49,18 @@
 }
 
 /**
- * The members to link to, from ranked ones. One that can't take work now is
- * kept, so that its return is noticed, and another one is taken besides.
+ * Selects the members to link to from ranked ones. A member that can't take
+ * work now is kept, so that its recovery is noticed, and another is added.
  */
 export function chooseSubset<T extends SubsetMember>(
 	ranked: readonly T[],
 	size: SubsetSize,
 	canTakeWork: (member: T) => boolean,
 ): T[] {
-	const takeFirst = (members: T[], wanted: number) => {
+	const selectFirst = (members: T[], wanted: number) => {
 		const chosen: T[] = [];
 		let working = 0;
-		for (const member of members.slice(0, wanted * triedForEach)) {
+		for (const member of members.slice(0, wanted * candidatesPerMember)) {
 			if (working >= wanted) {
 				break;
 			}
@@ -72,51 +72,51 @@
 		return {chosen, working};
 	};
 
-	const near = takeFirst(
+	const near = selectFirst(
 		ranked.filter(({isNear}) => isNear),
 		size.near,
 	);
-	const far = takeFirst(
+	const far = selectFirst(
 		ranked.filter(({isNear}) => !isNear),
 		size.total - near.working,
 	);
 	return [...near.chosen, ...far.chosen];
 }
 
-/** Members added to a subset at most while the chosen ones are full. */
-const mostExtra = 8;
-/** Members added in one period. */
+/** The maximum number of members added to a subset while the selected ones are full. */
+const maxExtra = 8;
+/** Members added per period. */
 const extraStep = 2;
 
-/** How a service's subset fares. */
+/** The current state of a service's subset. */
 export type SubsetState = {
-	/** Callers of this node ask for the service. */
+	/** Callers of this node request the service. */
 	isRequested: boolean;
-	/** No near member of the subset has room. */
+	/** No member of the subset in this data centre has room. */
 	isNearFull: boolean;
 	/** No member of the subset has room. */
 	isFull: boolean;
 };
 
-/** The size of one service's subset as it fares. */
+/** The size of one service's subset, adapted to its state. */
 export type AdaptiveSize = {
-	/** To be called in each period. */
+	/** Called once per period. */
 	update(state: SubsetState): SubsetSize;
 };
 
 /**
- * Creates a size that grows while the subset is full, by need and to a bound:
- * the targets of a subset may be slow or overloaded while others have room.
+ * Creates a size that grows, up to a bound, while the subset is full: its
+ * targets may be slow or overloaded while others have room.
  */
 export function createAdaptiveSize(): AdaptiveSize {
 	let nearExtra = 0;
 	let farExtra = 0;
-	const follow = (extra: number, isFull: boolean) =>
-		isFull ? Math.min(mostExtra, extra + extraStep) : Math.max(0, extra - 1);
+	const adapt = (extra: number, isFull: boolean) =>
+		isFull ? Math.min(maxExtra, extra + extraStep) : Math.max(0, extra - 1);
 	return {
 		update({isRequested: isAsked, isNearFull, isFull}) {
-			nearExtra = follow(nearExtra, isAsked && isNearFull);
-			farExtra = follow(farExtra, isAsked && isFull);
+			nearExtra = adapt(nearExtra, isAsked && isNearFull);
+			farExtra = adapt(farExtra, isAsked && isFull);
 			const base = isAsked ? activeSubsetSize : idleSubsetSize;
 			const near = base.near + nearExtra;
 			return {near, total: near + (base.total - base.near) + farExtra};
--- a/packages/mesh/src/decisions/quota-allocation.ts
+++ b/packages/mesh/src/decisions/quota-allocation.ts
@@ -1,66 +1,67 @@
 /**
- * Keeps the quotas of workspaces over all nodes.
+ * Enforces the quotas of workspaces over all nodes.
  *
- * Load pattern: a workspace sends many times its usual load, spread over nodes
- * in any way; its quota holds for the sum. Equal parts for the nodes would
- * refuse most requests of a small workspace, whose callers sit beside a few of
- * them. So the nodes of a data centre report to one of them, which exchanges
- * its sums with those of the other data centres and grants each workspace one
- * share for all nodes: 1 within the quota, else the part of the demand that fits.
+ * Load pattern: a workspace sends many times its usual load, spread over the
+ * nodes in any way; its quota limits the sum. Equal parts for all nodes would
+ * refuse most requests of a small workspace whose callers use only a few of
+ * them. So the nodes of a data centre report to one of them, the allocator. It
+ * exchanges sums with the allocators of the other data centres and grants each
+ * workspace one ratio for all nodes: 1 within the quota, else the fraction of
+ * the demand that fits.
  *
- * Reports come late. What was let in beyond the quota until then is kept as a
- * debt, and is paid back out of the next second's part.
+ * Reports are late. Requests admitted beyond the quota in the meantime are
+ * tracked as a debt, which is deducted from the next second's quota.
  *
- * Of a reporter that falls silent, its part of the quota stays reserved for a
- * while: it may be cut off, and goes on to spend just that.
+ * When a reporter stops reporting, its part of the quota stays reserved for a
+ * while: it may be partitioned, and then it continues to spend exactly that part.
  */
 import type {Quota, QuotaGrant, QuotaUse} from './quota-share.js';
 
-/** Who reports: a node of the allotter's data centre, or another data centre as a whole. */
+/** The source of a report: a node of the allocator's data centre, or another data centre as a whole. */
 export type Reporter = {kind: 'node' | 'dataCentre'; name: string};
 
-/** Sums reports and grants shares; instants by the steady clock, in milliseconds. */
+/** Sums reports and grants ratios; times are in milliseconds of the steady clock. */
 export type QuotaAllocation = {
-	/** Takes a report; a later one of the same reporter replaces it. */
+	/** Stores a report; it replaces the previous one of the same reporter. */
 	report(reporter: Reporter, uses: QuotaUse[], now: number): void;
-	/** Accounts for the time since the last call; to be called in each period. */
+	/** Accounts for the time since the last call; called once per period. */
 	update(quotas: readonly Quota[], now: number): void;
-	/** The sums of this data centre's nodes. */
+	/** The sums over this data centre's nodes. */
 	sums(now: number): QuotaUse[];
-	/** Shares of the named workspaces, as of the last update. */
+	/** The grants for the named workspaces, as of the last update. */
 	grants(workspaces: Iterable<string>): QuotaGrant[];
-	/** How many nodes of this data centre have reported lately. */
+	/** The number of nodes of this data centre with a recent report. */
 	reportingNodes(now: number): number;
-	/** Whether it has heard enough to grant anything. */
+	/** Whether enough time has passed since the start for reports to arrive, so that grants are reliable. */
 	isSettled(now: number): boolean;
 };
 
-/** Milliseconds after its start in which an allotter has heard too little to grant anything. */
-const learningTime = 1200;
+/** Milliseconds after its start within which an allocator has too few reports to grant anything. */
+const learningDuration = 1200;
 /** Milliseconds without a report after which a reporter counts as silent. */
-const reportLife = 1200;
-/** Milliseconds over which the demand of a reporter is averaged. */
-const demandTime = 2500;
-/** Milliseconds for which the part of a silent reporter stays reserved: the callers of a node may have gone with it. */
-const reservedTimes: Record<Reporter['kind'], number> = {
+const reportTimeout = 1200;
+/** The averaging time of a reporter's demand, in milliseconds. */
+const averagingTime = 2500;
+/** Milliseconds for which the part of a silent reporter stays reserved; shorter for a node, because its callers may have gone with it. */
+const reservationTimeouts: Record<Reporter['kind'], number> = {
 	node: 30_000,
 	dataCentre: 3_600_000,
 };
-/** Milliseconds within which a debt is paid back. */
-const paybackTime = 1000;
-/** The most that is kept as a debt, in seconds of the rate: what lies further back than any window matters to nobody. */
-const longestDebt = 5;
-/** Requests that a workspace may send besides its burst: reports of a few requests come unevenly. */
+/** Milliseconds within which a debt is repaid. */
+const repaymentTime = 1000;
+/** The maximum debt, in seconds of the rate: older excess lies outside every window. */
+const maxDebt = 5;
+/** Requests that a workspace may send beyond its burst: reports of a few requests arrive unevenly. */
 const tolerance = 3;
-/** Requests a second below which a demand is forgotten. */
-const leastDemand = 0.01;
+/** The demand below which a workspace is dropped, in requests per second. */
+const minDemand = 0.01;
 const millisecondsPerSecond = 1000;
 
 type Demand = QuotaUse & {
-	/** Requests a second, averaged. */
+	/** The moving average of its demand, in requests per second. */
 	mean: number;
-	/** The part of the workspace's requests that came to the reporter when it reported last. */
-	part: number;
+	/** The fraction of the workspace's requests that this reporter received, as of its last report. */
+	fraction: number;
 };
 
 type Report = {
@@ -70,18 +71,18 @@
 };
 
 type Sum = Omit<QuotaUse, 'workspace'>;
-type Account = {level: number; asked: number; share: number};
+type Account = {level: number; requested: number; share: number};
 
-/** Creates the allotment of a node that has heard no report. */
+/** Creates the allocation of a node without reports. */
 export function createQuotaAllocation(startedAt: number): QuotaAllocation {
 	const reports = new Map<string, Report>();
 	let accounts = new Map<string, Account>();
 	let updatedAt = startedAt;
 	let current: readonly Quota[] = [];
 
-	const forgetGone = (now: number) => {
+	const removeExpired = (now: number) => {
 		for (const [name, {kind, at}] of reports) {
-			if (now - at >= reservedTimes[kind]) {
+			if (now - at >= reservationTimeouts[kind]) {
 				reports.delete(name);
 			}
 		}
@@ -96,7 +97,7 @@
 		return total;
 	};
 
-	/** The sum over the reporters of the kinds; silent ones may spend their part of the rate. */
+	/** Sums the reporters of the given kinds; silent ones count with their reserved part of the rate. */
 	const sumOf = (
 		{workspace, rate}: Quota,
 		isCounted: (kind: Reporter['kind']) => boolean,
@@ -105,12 +106,12 @@
 		const sum: Sum = {requested: 0, admitted: 0, reserved: 0};
 		for (const {kind, at, demands} of reports.values()) {
 			const demand = isCounted(kind) ? demands.get(workspace) : undefined;
-			if (demand && now - at < reportLife) {
+			if (demand && now - at < reportTimeout) {
 				sum.requested += demand.requested;
 				sum.admitted += demand.admitted;
 				sum.reserved += demand.reserved;
 			} else if (demand) {
-				sum.reserved += demand.part * rate;
+				sum.reserved += demand.fraction * rate;
 			}
 		}
 
@@ -118,45 +119,38 @@
 	};
 
 	const account = (quota: Quota, now: number): Account => {
-		const {
-			requested: asked,
-			admitted,
-			reserved,
-		} = sumOf(quota, () => true, now);
+		const {requested, admitted, reserved} = sumOf(quota, () => true, now);
 		const level = accounts.get(quota.workspace)?.level ?? tolerance;
 		const rate = Math.max(0, quota.rate - reserved);
 		const elapsed = (now - updatedAt) / millisecondsPerSecond;
 		const changed = level + elapsed * (rate - admitted);
-		// Whoever can't be heard may have used the burst.
-		const most = reserved > 0 ? 0 : quota.burst + tolerance;
-		const bounded = Math.max(
-			-longestDebt * quota.rate,
-			Math.min(most, changed),
-		);
-		const payback = (bounded * millisecondsPerSecond) / paybackTime;
-		const fits = Math.max(0, rate + payback);
+		// A silent reporter may have used the burst.
+		const max = reserved > 0 ? 0 : quota.burst + tolerance;
+		const bounded = Math.max(-maxDebt * quota.rate, Math.min(max, changed));
+		const repayment = (bounded * millisecondsPerSecond) / repaymentTime;
+		const fits = Math.max(0, rate + repayment);
 		return {
 			level: bounded,
-			asked: meanOf(quota.workspace),
-			share: asked <= fits ? 1 : fits / asked,
+			requested: meanOf(quota.workspace),
+			share: requested <= fits ? 1 : fits / requested,
 		};
 	};
 
 	const listLiveNodes = (now: number): Report[] =>
 		[...reports.values()].filter(
-			({kind, at}) => kind === 'node' && now - at < reportLife,
+			({kind, at}) => kind === 'node' && now - at < reportTimeout,
 		);
 
 	return {
 		report({kind, name}, uses, now) {
 			const key = `${kind} ${name}`;
 			const known = reports.get(key);
-			const weight = known ? Math.min(1, (now - known.at) / demandTime) : 1;
+			const weight = known ? Math.min(1, (now - known.at) / averagingTime) : 1;
 			const demands = new Map<string, Demand>();
 			for (const [workspace, {mean}] of known?.demands ?? []) {
-				const faded = mean * (1 - weight);
-				if (faded > leastDemand) {
-					demands.set(workspace, createDemand(workspace, faded));
+				const decayed = mean * (1 - weight);
+				if (decayed > minDemand) {
+					demands.set(workspace, createDemand(workspace, decayed));
 				}
 			}
 
@@ -165,18 +159,18 @@
 				demands.set(use.workspace, {
 					...use,
 					mean: mean + weight * use.requested,
-					part: 0,
+					fraction: 0,
 				});
 			}
 
 			reports.set(key, {kind, at: now, demands});
 			for (const demand of demands.values()) {
-				demand.part =
-					demand.mean / Math.max(leastDemand, meanOf(demand.workspace));
+				demand.fraction =
+					demand.mean / Math.max(minDemand, meanOf(demand.workspace));
 			}
 		},
 		update(quotas, now) {
-			forgetGone(now);
+			removeExpired(now);
 			accounts = new Map(
 				quotas.map((quota) => [quota.workspace, account(quota, now)]),
 			);
@@ -199,17 +193,21 @@
 			for (const workspace of workspaces) {
 				const known = accounts.get(workspace);
 				if (known) {
-					grants.push({workspace, requested: known.asked, share: known.share});
+					grants.push({
+						workspace,
+						requested: known.requested,
+						share: known.share,
+					});
 				}
 			}
 
 			return grants;
 		},
 		reportingNodes: (now) => listLiveNodes(now).length,
-		isSettled: (now) => now - startedAt >= learningTime,
+		isSettled: (now) => now - startedAt >= learningDuration,
 	};
 }
 
 function createDemand(workspace: string, mean: number): Demand {
-	return {workspace, requested: 0, admitted: 0, reserved: 0, mean, part: 0};
+	return {workspace, requested: 0, admitted: 0, reserved: 0, mean, fraction: 0};
 }
--- a/packages/mesh/src/decisions/quota-share.ts
+++ b/packages/mesh/src/decisions/quota-share.ts
@@ -1,106 +1,106 @@
 /**
- * One node's part in the quotas of workspaces.
+ * Enforces one node's part of the quotas of workspaces.
  *
- * Load pattern: a workspace sends many times its usual load, over all nodes at
- * once. No node sees how much that is in all. So each node tells an allotter
- * what it was asked and what it let in (`quota-allotment.ts`), and gets back the
- * share of the requests that all nodes together may let in; while a workspace
- * is within its quota the share is 1, and nobody is refused.
+ * Load pattern: a workspace sends many times its usual load over all nodes at
+ * once, and no node sees the total. So each node reports its requested and
+ * admitted rates to an allocator (`quota-allocation.ts`) and receives the ratio
+ * of requests that all nodes together may admit; it is 1 while a workspace is
+ * within its quota, and nothing is refused then.
  *
- * A node that has not heard from an allotter for a while is cut off, or has just
- * started. Then it spends a fixed part of the quota: the part of the workspace's
- * requests that came to it when it last knew the whole, else an equal one. The
- * sum of the parts is the quota, whoever is cut off from whom.
+ * A node without recent grants is partitioned or has just started. It then
+ * spends a fixed part of the quota: the fraction of the workspace's requests
+ * that it received when it last knew the total, else an equal part. The parts
+ * add up to the quota, however the nodes are partitioned.
  */
 import type {Random} from '@egretspoke/shared';
 
 /** The quota of a workspace. */
 export type Quota = {
 	workspace: string;
-	/** Requests a second. */
+	/** Requests per second. */
 	rate: number;
-	/** Requests beyond the rate that may come at once. */
+	/** Requests beyond the rate that may arrive at once. */
 	burst: number;
 };
 
-/** What a node, or the nodes of a data centre, let in of a workspace's requests, and would without a quota; requests a second. */
+/** The requests of a workspace at a node or a data centre: the demand without a quota, and what was admitted; in requests per second. */
 export type QuotaUse = {
 	workspace: string;
 	requested: number;
 	admitted: number;
-	/** What nodes that can't be heard may let in; 0 for one node. */
+	/** What nodes without recent reports may admit; 0 for a single node. */
 	reserved: number;
 };
 
-/** What an allotter grants. */
+/** A grant of an allocator. */
 export type QuotaGrant = {
 	workspace: string;
-	/** Requests a second that all nodes are asked. */
+	/** The demand over all nodes, in requests per second. */
 	requested: number;
-	/** The part of them, from 0 to 1, that may be let in. */
+	/** The ratio of the demand, from 0 to 1, that may be admitted. */
 	share: number;
 };
 
-/** One node's part in the quotas; instants by the steady clock, in milliseconds. */
+/** One node's part of the quotas; times are in milliseconds of the steady clock. */
 export type QuotaShare = {
 	/** Whether the quota allows one more request. */
 	allows(quota: Quota, now: number): boolean;
-	/** A request that was allowed goes to a target; one that is refused otherwise uses up nothing. */
+	/** Records that an allowed request is handed to a target; requests refused for other reasons don't use the quota. */
 	recordAdmitted(quota: Quota): void;
-	/** Milliseconds until the workspace will probably have room. */
+	/** Milliseconds until the quota will probably allow a request. */
 	retryAfterTime(quota: Quota): number;
-	/** What came since the last call. */
+	/** The use since the last call. */
 	uses(now: number): QuotaUse[];
-	/** Takes what an allotter grants; also without grants it is a sign of life. */
+	/** Applies the grants of an allocator; an empty list only shows that the allocator is reachable. */
 	applyGrants(grants: QuotaGrant[], now: number): void;
 };
 
-/** Milliseconds without a sign of an allotter after which a node spends a fixed part. */
-const contactLife = 1000;
-/** Milliseconds over which the requests that come to this node are averaged. */
-const askedTime = 2500;
-/** Milliseconds after which a refused caller may come back at the earliest. */
-const leastReturn = 300;
-/** How many times its part a node lets in of a workspace before an allotter can have said anything. */
+/** Milliseconds without a message of an allocator after which a node spends a fixed part. */
+const allocatorTimeout = 1000;
+/** The averaging time of the requests at this node, in milliseconds. */
+const averagingTime = 2500;
+/** The minimum retry time of a refused caller, in milliseconds. */
+const minRetryAfter = 300;
+/** A node's admission limit before the allocator can have reacted, as a multiple of its part. */
 const surgeFactor = 1.5;
-/** Requests that a node lets in at once in any case while it hears from an allotter. */
-const leastSurge = 3;
-/** The part of its burst that a node lets in at once. */
-const surgeOfBurst = 0.5;
-/** Requests a second below which a workspace counts as gone from a node. */
-const leastRate = 0.02;
+/** The minimum number of requests that a node admits at once while it receives grants. */
+const minSurge = 3;
+/** The fraction of its burst that a node admits at once. */
+const surgeBurstRatio = 0.5;
+/** The rate below which a workspace counts as gone from a node, in requests per second. */
+const minRate = 0.02;
 const millisecondsPerSecond = 1000;
 
 type Account = {
-	/** Requests since the last report: all, those that the quota allowed, and those that went to a target. */
-	asked: number;
+	/** Requests since the last report: all, those that the quota allowed, and those handed to a target. */
+	requested: number;
 	allowed: number;
 	admitted: number;
-	/** Requests a second that come to this node. */
-	askedRate: number;
+	/** The moving average of the requests at this node, per second. */
+	requestRate: number;
 	share: number;
 	grantedAt: number;
-	/** The part of the workspace's requests that came to this node at the last grant; undefined before any. */
+	/** The fraction of the workspace's requests that this node received, as of the last grant; undefined before any. */
 	part: number | undefined;
-	/** Parts of requests that may be let in, below 1. */
+	/** The accumulated fraction of a request that may be admitted, below 1. */
 	credit: number;
-	/** What this node may spend of its part. */
+	/** The token bucket of this node's part. */
 	bucket: Bucket;
-	/** The bucket holds the fixed part of a node without an allotter. */
+	/** The bucket holds the fixed part of a node without recent grants. */
 	isFixed: boolean;
 };
 
 type Bucket = {tokens: number; at: number};
 
-/** What a node's part depends on. */
+/** What a node's part of the quotas depends on. */
 export type QuotaShareOptions = {
-	/** How many nodes there are; undefined while nobody knows. */
+	/** The number of nodes; undefined while unknown. */
 	nodes: () => number | undefined;
 	random: Random;
 	startedAt: number;
 };
 
-/** Creates the part of a node that has heard of no grant. */
+/** Creates the quota enforcement of a node without grants. */
 export function createQuotaShare({
 	nodes,
 	random,
@@ -108,16 +108,16 @@
 }: QuotaShareOptions): QuotaShare {
 	const accounts = new Map<string, Account>();
 	let reportedAt = startedAt;
-	let heardAt = Number.NEGATIVE_INFINITY;
+	let contactAt = Number.NEGATIVE_INFINITY;
 
 	const accountOf = ({workspace}: Quota, now: number): Account => {
 		let account = accounts.get(workspace);
 		if (!account) {
 			account = {
-				asked: 0,
+				requested: 0,
 				allowed: 0,
 				admitted: 0,
-				askedRate: 0,
+				requestRate: 0,
 				share: 1,
 				grantedAt: Number.NEGATIVE_INFINITY,
 				part: undefined,
@@ -133,7 +133,7 @@
 
 	const equalPart = () => 1 / (nodes() ?? Number.POSITIVE_INFINITY);
 
-	/** Without an allotter; it begins without a burst, which may have been used already. */
+	/** Applies without recent grants; starts without a burst, because it may have been used already. */
 	const isWithinPart = (account: Account, quota: Quota, now: number) => {
 		const part = account.part ?? equalPart();
 		if (!account.isFixed) {
@@ -141,11 +141,11 @@
 			account.bucket = {tokens: random.fraction(), at: now};
 		}
 
-		const most = Math.max(1, part * quota.burst);
-		return fill(account.bucket, now, part * quota.rate, most) >= 1;
+		const max = Math.max(1, part * quota.burst);
+		return fill(account.bucket, now, part * quota.rate, max) >= 1;
 	};
 
-	/** A demand that grows at once is bounded here until the allotters have heard of it. */
+	/** Limits a sudden increase of demand until the allocators have received reports of it. */
 	const isWithinSurge = (account: Account, quota: Quota, now: number) => {
 		account.isFixed = false;
 		if (account.part === undefined) {
@@ -153,21 +153,21 @@
 		}
 
 		const part = Math.max(account.part, equalPart());
-		const most = leastSurge + surgeOfBurst * part * quota.burst;
+		const max = minSurge + surgeBurstRatio * part * quota.burst;
 		const perSecond = surgeFactor * part * quota.rate;
-		return fill(account.bucket, now, perSecond, most) >= 1;
+		return fill(account.bucket, now, perSecond, max) >= 1;
 	};
 
 	const isWithinShare = (account: Account, now: number): boolean => {
-		const isFresh = now - account.grantedAt < contactLife;
+		const isFresh = now - account.grantedAt < allocatorTimeout;
 		if (!isFresh || account.share >= 1) {
 			return true;
 		}
 
 		account.credit += account.share;
-		const isTaken = account.credit >= 1;
-		account.credit -= isTaken ? 1 : 0;
-		return isTaken;
+		const isAdmitted = account.credit >= 1;
+		account.credit -= isAdmitted ? 1 : 0;
+		return isAdmitted;
 	};
 
 	return {
@@ -178,10 +178,10 @@
 
 			const account = accountOf(quota, now);
 			const isAllowed =
-				now - heardAt < contactLife
+				now - contactAt < allocatorTimeout
 					? isWithinShare(account, now) && isWithinSurge(account, quota, now)
 					: isWithinPart(account, quota, now);
-			account.asked++;
+			account.requested++;
 			account.allowed += isAllowed ? 1 : 0;
 			return isAllowed;
 		},
@@ -195,23 +195,23 @@
 		retryAfterTime(quota) {
 			const share = accounts.get(quota.workspace)?.share ?? 1;
 			const missing = (1 - share) * millisecondsPerSecond;
-			return leastReturn + missing * random.fraction();
+			return minRetryAfter + missing * random.fraction();
 		},
 		uses(now) {
 			const elapsed = Math.max(1, now - reportedAt);
 			reportedAt = now;
 			const perSecond = millisecondsPerSecond / elapsed;
-			const weight = Math.min(1, elapsed / askedTime);
+			const weight = Math.min(1, elapsed / averagingTime);
 			const uses: QuotaUse[] = [];
 			for (const [workspace, account] of accounts) {
-				const asked = expectedRuns(account) * perSecond;
-				account.askedRate += weight * (asked - account.askedRate);
-				if (account.asked > 0 || account.askedRate > leastRate) {
+				const requested = expectedRuns(account) * perSecond;
+				account.requestRate += weight * (requested - account.requestRate);
+				if (account.requested > 0 || account.requestRate > minRate) {
 					const admitted = account.admitted * perSecond;
-					uses.push({workspace, requested: asked, admitted, reserved: 0});
+					uses.push({workspace, requested, admitted, reserved: 0});
 				}
 
-				account.asked = 0;
+				account.requested = 0;
 				account.allowed = 0;
 				account.admitted = 0;
 			}
@@ -219,34 +219,36 @@
 			return uses;
 		},
 		applyGrants(grants, now) {
-			heardAt = now;
-			for (const {workspace, requested: asked, share} of grants) {
+			contactAt = now;
+			for (const {workspace, requested, share} of grants) {
 				const account = accounts.get(workspace);
 				if (account) {
 					account.share = share;
 					account.grantedAt = now;
 					account.part =
-						asked > 0 ? Math.min(1, account.askedRate / asked) : undefined;
+						requested > 0
+							? Math.min(1, account.requestRate / requested)
+							: undefined;
 				}
 			}
 		},
 	};
 }
 
-/** The requests that would have gone to a target if the quota had allowed all. */
-function expectedRuns({asked, allowed, admitted}: Account): number {
-	return allowed === 0 ? asked : (asked * admitted) / allowed;
+/** The number of requests that would have been handed to a target if the quota had allowed all of them. */
+function expectedRuns({requested, allowed, admitted}: Account): number {
+	return allowed === 0 ? requested : (requested * admitted) / allowed;
 }
 
-/** Fills a bucket with so many a second up to the most; gives what it holds. */
+/** Refills a token bucket up to `max`; returns its tokens. */
 function fill(
 	bucket: Bucket,
 	now: number,
 	perSecond: number,
-	most: number,
+	max: number,
 ): number {
 	const elapsed = (now - bucket.at) / millisecondsPerSecond;
 	bucket.at = now;
-	bucket.tokens = Math.min(most, bucket.tokens + elapsed * perSecond);
+	bucket.tokens = Math.min(max, bucket.tokens + elapsed * perSecond);
 	return bucket.tokens;
 }
--- a/packages/mesh/src/decisions/retry-budget.ts
+++ b/packages/mesh/src/decisions/retry-budget.ts
@@ -1,83 +1,81 @@
 /**
- * Bounds how often requests are sent to a target again, over all nodes.
+ * Bounds how often requests are retried, over all nodes.
  *
- * Load pattern: a service slows down or loses answers, and every node sends
- * its requests again. Each run of a request calls deeper services, so a second
- * run at one layer is a second run of the whole tree below it; without a bound
- * a service that has lost a few targets gets several times its load and stays
- * down after the cause has gone.
+ * Load pattern: a service slows down or loses answers, and every node retries
+ * its requests. A retry repeats the whole tree of calls below it, so without a
+ * bound a service that has lost a few targets gets several times its load and
+ * stays down after the cause has gone.
  *
- * No node can ask the others before it retries. So each one spends only a
- * share of the requests that itself has sent to the service in the window,
- * plus its part of the fixed allowance; the sum over the nodes is then within
- * the bound whatever the others do.
+ * Nodes can't coordinate before each retry. So each one limits its retries to a
+ * ratio of the requests that it sent to the service within the window, plus its
+ * part of a fixed allowance; the sum over all nodes then keeps the bound.
  *
- * In a large fleet a node's share is often less than one retry, and rounded
- * down by each node nobody would ever retry. So each node rounds at a point of
- * its own, drawn at random: the sum over the nodes is as it should be.
+ * In a large fleet the limit of a node is often below one retry, and always
+ * rounding down would prevent all retries. So each node rounds at its own
+ * random threshold, which keeps the expected sum correct.
  */
 import type {Random} from '@egretspoke/shared';
 
 /** The bound for a service, over all nodes. */
 export type RetryBudgetOptions = {
-	/** Retries allowed for each request of the window. */
+	/** Allowed retries per request within the window. */
 	ratio: number;
-	/** Retries allowed in each window whatever the load, over all nodes. */
+	/** Retries allowed within each window regardless of load, over all nodes. */
 	allowance: number;
-	/** Milliseconds. */
+	/** The length of the window, in milliseconds. */
 	window: number;
 };
 
-/** One node's part of the budget of each service. */
+/** One node's budget for each service; times are in milliseconds of the steady clock. */
 export type RetryBudget = {
 	countRequest(service: string, now: number): void;
-	/** Takes a retry from the budget, of which the part from 0 to 1 may be spent; false when there is none left. */
-	take(service: string, now: number, nodes: number, part: number): boolean;
+	/** Takes a retry from the budget, of which the given share, from 0 to 1, may be spent; false when it is exhausted. */
+	take(service: string, now: number, nodes: number, share: number): boolean;
 };
 
 /**
- * The part of the bound that is spent on requests whose runs make calls. A
- * retry of such a request repeats the calls below it, which count there too:
- * with three services above the deepest one, what all of them repeat leaves it
- * half of its bound.
+ * The share of the bound for requests that make further calls. A retry of such
+ * a request repeats the calls below it, and these repeats count at the services
+ * below too: with three services above the deepest one, the repeats of all
+ * three leave it half of its bound.
  */
 export const nonLeafRetryShare = 0.15;
-/** The part that is spent on requests whose runs make none: each repeat is one run. */
+/** The share of the bound for requests that make no calls: each retry is a single run. */
 export const leafRetryShare = 0.45;
 
-/** Slots in which a window is counted; the oldest leaves as a whole. */
+/** Slots in which a window is counted; the oldest slot expires as a whole. */
 const slotsPerWindow = 10;
 
 type Counts = {
 	requests: number[];
 	retries: number[];
 	slot: number;
-	/** A last retry is allowed when the fractional part of the limit is above this, from 0 to 1. */
-	rounding: number;
+	/** A last, fractional retry is allowed when the fractional part of the limit exceeds this threshold, from 0 to 1. */
+	roundingThreshold: number;
 };
 
-/** Creates the budgets of a node. */
+/** Creates the retry budgets of a node, one for each service. */
 export function createRetryBudget(
 	options: RetryBudgetOptions,
 	random: Random,
 ): RetryBudget {
-	const slotTime = options.window / slotsPerWindow;
+	const slotDuration = options.window / slotsPerWindow;
 	const services = new Map<string, Counts>();
 
 	const countsOf = (service: string, now: number): Counts => {
 		let counts = services.get(service);
-		const slot = Math.floor(now / slotTime);
+		const slot = Math.floor(now / slotDuration);
 		if (!counts) {
 			counts = {
-				requests: emptySlots(),
-				retries: emptySlots(),
+				requests: createSlots(),
+				retries: createSlots(),
 				slot,
-				rounding: random.fraction(),
+				roundingThreshold: random.fraction(),
 			};
 			services.set(service, counts);
 		}
 
-		forget(counts, slot);
+		expireSlots(counts, slot);
 		return counts;
 	};
 
@@ -86,13 +84,13 @@
 			const counts = countsOf(service, now);
 			counts.requests[counts.slot % slotsPerWindow]!++;
 		},
-		take(service, now, nodes, part) {
+		take(service, now, nodes, share) {
 			const counts = countsOf(service, now);
 			const limit =
-				part *
+				share *
 				(options.ratio * sum(counts.requests) +
 					options.allowance / Math.max(1, nodes));
-			if (sum(counts.retries) + counts.rounding >= limit) {
+			if (sum(counts.retries) + counts.roundingThreshold >= limit) {
 				return false;
 			}
 
@@ -102,14 +100,14 @@
 	};
 }
 
-function emptySlots(): number[] {
+function createSlots(): number[] {
 	return Array.from({length: slotsPerWindow}, () => 0);
 }
 
-/** Empties the slots that have passed since the last look. */
-function forget(counts: Counts, slot: number): void {
-	const passed = Math.min(slotsPerWindow, slot - counts.slot);
-	for (let index = 1; index <= passed; index++) {
+/** Resets the slots that have expired since the last update. */
+function expireSlots(counts: Counts, slot: number): void {
+	const expired = Math.min(slotsPerWindow, slot - counts.slot);
+	for (let index = 1; index <= expired; index++) {
 		const position = (counts.slot + index) % slotsPerWindow;
 		counts.requests[position] = 0;
 		counts.retries[position] = 0;
--- /dev/null
+++ b/packages/mesh/src/decisions/return-time.ts
@@ -0,0 +1,50 @@
+/**
+ * Calculates when a refused caller should retry.
+ *
+ * Load pattern: a burst of which a part is refused. With the same retry time
+ * for all, the refused requests arrive as the next burst and are refused again.
+ * With a time close to the end of their objective, the retries are admitted but
+ * answered too late to be useful. So the times are spread between a short
+ * minimum and half of the objective, which leaves the other half for the
+ * answer. When nearly all requests are refused, that is too early: the cause
+ * will probably persist, and a late answer is better than a second refusal.
+ */
+
+/** The retry time for a short overload, in milliseconds. */
+export const shortRetryAfter = 300;
+/** The minimum retry time as a fraction of the objective, if that is sooner. */
+const minObjectiveRatio = 0.2;
+/** The maximum retry time as a fraction of the objective. */
+const maxObjectiveRatio = 0.5;
+/** The ratio of refused requests from which nearly all count as refused. */
+const nearlyAllRatio = 0.9;
+/** The maximum retry time as a fraction of the time that the caller has left. */
+const maxTimeLeftRatio = 1 / 3;
+
+/** What determines the retry time of a caller; times in milliseconds. */
+export type CallerTime = {
+	/** Time until the caller gives up. */
+	timeLeft: number;
+	/** Time from the arrival of the request within which an answer has its full value to the caller. */
+	objective: number;
+	/** The ratio of similar requests, from 0 to 1, that are currently refused. */
+	refused: number;
+};
+
+/** Returns the milliseconds until the retry; `fraction` is drawn uniformly from 0 to 1. */
+export function retryAfterTime(
+	{timeLeft, objective, refused}: CallerTime,
+	fraction: number,
+): number {
+	const max = Math.max(0, timeLeft) * maxTimeLeftRatio;
+	const earliest = Math.min(
+		max,
+		shortRetryAfter,
+		objective * minObjectiveRatio,
+	);
+	const latest =
+		refused < nearlyAllRatio
+			? Math.min(max, objective * maxObjectiveRatio)
+			: max;
+	return earliest + Math.max(0, latest - earliest) * fraction;
+}
--- a/packages/mesh/src/decisions/run-time.ts
+++ b/packages/mesh/src/decisions/run-time.ts
@@ -1,37 +1,37 @@
 /**
- * How long a target takes for a request lately.
+ * Tracks the recent duration of a target's runs.
  *
- * Load pattern: a few of many targets turn slow, tenfold and more, with slots
- * free. By its occupancy a slow target has room, so each node goes on giving it
- * work; every fifth view waits for it, and the levels of the slow ones have the
- * entries refuse work that the others could run. So the time of a run counts
- * when a target is chosen.
+ * Load pattern: a few of many targets become tenfold slower, or worse, with
+ * slots free. By its occupancy a slow target has room, so every node keeps
+ * sending it work; every fifth view waits for it, and the shed levels of the
+ * slow targets make the entry nodes refuse work that the others could run. So
+ * the duration counts when a target is selected.
  *
- * A target that is avoided shows nothing more. After a while without runs its
- * time counts as unknown, and the next run alone says how it is then.
+ * A target that is avoided yields no new durations. After some time without
+ * runs its duration counts as unknown, and the next run alone sets it.
  */
 
-/** The time of one target's runs, in milliseconds; instants by the steady clock. */
+/** The duration of one target's runs, in milliseconds; times are those of the steady clock. */
 export type RunTime = {
 	record(duration: number, now: number): void;
-	/** 0 while unknown. */
+	/** The moving average; 0 while unknown. */
 	value(now: number): number;
 };
 
-/** The weight of a run: about the last ten count. */
+/** The weight of a run in the moving average, which covers about the last ten. */
 const runWeight = 0.1;
-/** Milliseconds without runs after which the time is unknown. */
-const freshTime = 4000;
+/** The time without runs after which the duration is unknown, in milliseconds. */
+const maxAge = 4000;
 
-/** Creates the time of a target that has run nothing. */
+/** Creates the duration of a target without runs. */
 export function createRunTime(): RunTime {
 	let mean = 0;
-	let notedAt = Number.NEGATIVE_INFINITY;
-	const isFresh = (now: number) => now - notedAt <= freshTime;
+	let recordedAt = Number.NEGATIVE_INFINITY;
+	const isFresh = (now: number) => now - recordedAt <= maxAge;
 	return {
 		record(duration, now) {
 			mean = isFresh(now) ? mean + runWeight * (duration - mean) : duration;
-			notedAt = now;
+			recordedAt = now;
 		},
 		value: (now) => (isFresh(now) ? mean : 0),
 	};
--- a/packages/mesh/src/decisions/target-admission.ts
+++ b/packages/mesh/src/decisions/target-admission.ts
@@ -1,72 +1,74 @@
 /**
- * Admission at the node beside a target: what runs, what waits, what is
- * refused.
+ * Admission control for one target: decides whether a request runs, waits or
+ * is refused.
  *
- * Load pattern: a burst above what the target runs at once. A target that is
- * full may answer nothing any more, and work that it queues can't be taken
- * back or put in order. So no more is handed over than it runs at once, and
- * the rest waits here: calls of work that has already begun and new work that
- * needs no service after this one, then other new work by priority, in the order of arrival, and only as long as the wait
- * leaves time for the work. What can't be run in time is refused at once, so
- * that its caller can go elsewhere while there is still time.
+ * Load pattern: a burst above what the target can run at once. A saturated
+ * target may stop answering, and work in its own queue can't be withdrawn or
+ * reordered. So no more requests are handed over than it runs at once, and the
+ * rest is queued here: first calls of requests that already run and new
+ * requests that make no further calls, then other new requests by priority,
+ * each in order of arrival. A request that can't run within its maximum wait is
+ * refused immediately, so that its caller can still try elsewhere.
  */
 
-/** A request as admission sees it. */
+/** The properties of a request that admission depends on. */
 export type AdmissionRequest = {
-	/** It is a call of work that has begun, or new work that makes no calls. */
+	/** It is a call of a running request, or a new request that makes no calls. */
 	isNearItsEnd: boolean;
-	/** 0 is the highest. */
+	/** 0 is the highest priority. */
 	priority: number;
-	/** The longest it may wait here, in milliseconds. */
+	/** The maximum time that it may wait here, in milliseconds. */
 	patience: number;
 };
 
 type Waiting<T> = {
 	request: AdmissionRequest;
 	item: T;
-	until: number;
+	expiresAt: number;
 	isGone: boolean;
 };
 
-/** What becomes of a request that is offered. */
+/** The result of offering a request. */
 export type AdmissionDecision = 'run' | 'wait' | 'refuse';
 
-/** The admission of one target. */
+/** Admission control of one target; times are in milliseconds of the steady clock. */
 export type TargetAdmission<T> = {
+	/** Decides about a request; one that is to wait is queued. */
 	offer(request: AdmissionRequest, item: T, now: number): AdmissionDecision;
-	/** A request that ran has ended, after so many milliseconds; undefined when it says nothing of the target's speed. */
+	/** Records that a running request has ended; its duration is undefined when it doesn't reflect the target's speed. */
 	finish(duration: number | undefined): void;
-	/** Takes the next to run, if there is room. */
+	/** Removes the next request to run from the queue; undefined when none waits or no slot is free. */
 	next(): T | undefined;
-	/** Takes those whose patience is over. */
+	/** Removes the requests whose maximum wait has passed. */
 	expire(now: number): T[];
-	/** Takes one that waits out of the queue; false when it isn't waiting. */
+	/** Removes a request from the queue; false when it isn't queued. */
 	withdraw(item: T): boolean;
-	/** Takes all that wait. */
+	/** Removes all queued requests. */
 	clear(): T[];
-	setLimit(handedAtOnce: number): void;
-	/** Milliseconds of work at full use that was offered since the last call. */
+	/** Sets how many requests may run at once. */
+	setLimit(concurrencyLimit: number): void;
+	/** The work offered since the last call, in milliseconds that the target needs for it at full use. */
 	takeArrivals(): number;
-	/** Milliseconds that a new request would wait. */
+	/** The estimated wait of a new request, in milliseconds. */
 	expectedWait(): number;
 	running(): number;
 	waiting(): number;
 	limit(): number;
 };
 
-/** The weight of a new duration in the moving average: about the last 20. */
+/** The weight of a new duration in the moving average, which covers about the last 20. */
 const durationWeight = 0.05;
-/** Milliseconds assumed for a request before any has ended. */
-const firstDuration = 30;
+/** The duration that is assumed before any request has ended, in milliseconds. */
+const initialDuration = 30;
 
-/** Creates the admission of a target that is handed so many requests at once. */
+/** Creates the admission control of a target that runs up to `concurrencyLimit` requests at once. */
 export function createTargetAdmission<T>(
-	handedAtOnce: number,
+	concurrencyLimit: number,
 ): TargetAdmission<T> {
-	let limit = handedAtOnce;
+	let limit = concurrencyLimit;
 	let running = 0;
 	let waitingCount = 0;
-	let meanDuration = firstDuration;
+	let meanDuration = initialDuration;
 	let offered = 0;
 	const ranks: Array<Array<Waiting<T>>> = [];
 	const entries = new Map<T, Waiting<T>>();
@@ -104,7 +106,7 @@
 			const entry = {
 				request,
 				item,
-				until: now + request.patience,
+				expiresAt: now + request.patience,
 				isGone: false,
 			};
 			(ranks[rank] ??= []).push(entry);
@@ -124,7 +126,7 @@
 			}
 
 			for (const queue of ranks) {
-				const entry = queue && takeFirst(queue);
+				const entry = queue && removeFirst(queue);
 				if (entry) {
 					remove(entry);
 					running++;
@@ -142,7 +144,7 @@
 
 			for (const [index, queue] of ranks.entries()) {
 				for (const entry of queue ?? []) {
-					if (!entry.isGone && entry.until < now) {
+					if (!entry.isGone && entry.expiresAt < now) {
 						remove(entry);
 						expired.push(entry.item);
 					}
@@ -168,8 +170,8 @@
 			waitingCount = 0;
 			return items;
 		},
-		setLimit(changed) {
-			limit = changed;
+		setLimit(concurrencyLimit) {
+			limit = concurrencyLimit;
 		},
 		takeArrivals() {
 			const work = (offered * meanDuration) / limit;
@@ -183,8 +185,8 @@
 	};
 }
 
-/** The first that has not left otherwise. */
-function takeFirst<T>(queue: Array<Waiting<T>>): Waiting<T> | undefined {
+/** Removes entries until it finds one that is still queued; returns that one. */
+function removeFirst<T>(queue: Array<Waiting<T>>): Waiting<T> | undefined {
 	for (let entry = queue.shift(); entry; entry = queue.shift()) {
 		if (!entry.isGone) {
 			return entry;
--- a/packages/mesh/src/decisions/transit-delay.ts
+++ b/packages/mesh/src/decisions/transit-delay.ts
@@ -1,44 +1,43 @@
 /**
- * How long a message was held up on its way, without a common clock.
+ * Measures how long a message was delayed in transit, without a common clock.
  *
- * Load pattern: a link that is squeezed, or a node that gets too little
- * processor time. A request says how much time it has left when it is sent;
- * held up for a second, it would be given to the target with time that its
- * caller no longer has, and run for nobody. So each message says when it was
- * sent by the sender's clock. The least difference to the receiver's clock in
- * the last seconds is that of a message that came straight; what is above it
- * is delay.
+ * Load pattern: a throttled link, or a node that gets too little processor
+ * time. A request carries the time that it had left when it was sent; after a
+ * delay of a second, its target would run it although its caller no longer
+ * waits. So each message carries its sending time by the sender's clock. The
+ * minimum difference to the receiver's clock over the last seconds is that of a
+ * message without delay; whatever exceeds it is delay.
  */
 
 /** The delays of one link. */
 export type TransitDelay = {
-	/** Milliseconds beyond the shortest way, both times by steady clocks of their own. */
+	/** The delay beyond that of the fastest recent message; both times are in milliseconds of the local steady clock of either node. */
 	measure(sentAt: number, receivedAt: number): number;
 };
 
 /**
- * Milliseconds in which the least difference is looked for. A node that was
- * suspended has a clock that has fallen behind, and all that it sends seems
- * late until this has passed twice.
+ * The window of the minimum, in milliseconds. The clock of a node that was
+ * suspended falls behind, and all its messages seem late until two windows have
+ * passed.
  */
-const periodTime = 2500;
+const windowDuration = 2500;
 
-/** Creates the delays of a link that has carried nothing. */
+/** Creates the delays of a link without messages. */
 export function createTransitDelay(): TransitDelay {
-	let periodStart = Number.NEGATIVE_INFINITY;
-	let least = Number.POSITIVE_INFINITY;
-	let leastBefore = Number.POSITIVE_INFINITY;
+	let windowStart = Number.NEGATIVE_INFINITY;
+	let minimum = Number.POSITIVE_INFINITY;
+	let previousMinimum = Number.POSITIVE_INFINITY;
 	return {
 		measure(sentAt, receivedAt) {
 			const difference = receivedAt - sentAt;
-			if (receivedAt - periodStart > periodTime) {
-				periodStart = receivedAt;
-				leastBefore = least;
-				least = difference;
+			if (receivedAt - windowStart > windowDuration) {
+				windowStart = receivedAt;
+				previousMinimum = minimum;
+				minimum = difference;
 			}
 
-			least = Math.min(least, difference);
-			return difference - Math.min(least, leastBefore);
+			minimum = Math.min(minimum, difference);
+			return difference - Math.min(minimum, previousMinimum);
 		},
 	};
 }
--- a/packages/mesh/src/decisions/weighted-rotation.ts
+++ b/packages/mesh/src/decisions/weighted-rotation.ts
@@ -1,18 +1,19 @@
 /**
- * Spreads the requests of a route over its services by their weights.
+ * Distributes the requests of a route over its services by their weights.
  *
- * Drawn at random, a part of a few requests is far off its weight for seconds;
- * an operator who moves a tenth of the traffic sees a fifth move. Here each
- * service gains its weight with every request and the one that has gained
- * most is taken and pays for all (smooth weighted round-robin), so that any
- * run of requests is within one request of its weights.
+ * With a random choice, the share of a service with few requests is far off its
+ * weight for seconds: an operator who moves a tenth of the traffic may see a
+ * fifth move. So this is a smooth weighted round-robin: with every request each
+ * service gains its weight, and the service with the highest total is selected
+ * and loses the sum of all weights. Any sequence of requests is then within one
+ * request of the weights.
  */
 import type {WeightedService} from '../route.js';
 
-/** Gives the service of the next request. */
+/** Selects the service of the next request. */
 export type WeightedRotation = {next(): string};
 
-/** Creates a rotation; services of weight 0 are never taken unless all weigh 0. */
+/** Creates a rotation; services of weight 0 are not selected unless all weights are 0. */
 export function createWeightedRotation(
 	services: WeightedService[],
 ): WeightedRotation {
@@ -21,12 +22,12 @@
 		return {next: () => only.service};
 	}
 
-	const weightless = services.every(({weight}) => weight === 0);
+	const areAllZero = services.every(({weight}) => weight === 0);
 	const entries = services
 		.map(({service, weight}) => ({
 			service,
-			weight: weightless ? 1 : weight,
-			gained: 0,
+			weight: areAllZero ? 1 : weight,
+			currentWeight: 0,
 		}))
 		.filter(({weight}) => weight > 0);
 	const total = entries.reduce((sum, {weight}) => sum + weight, 0);
@@ -34,13 +35,13 @@
 		next() {
 			let best = entries[0]!;
 			for (const entry of entries) {
-				entry.gained += entry.weight;
-				if (entry.gained > best.gained) {
+				entry.currentWeight += entry.weight;
+				if (entry.currentWeight > best.currentWeight) {
 					best = entry;
 				}
 			}
 
-			best.gained -= total;
+			best.currentWeight -= total;
 			return best.service;
 		},
 	};
--- a/packages/mesh/src/entry.ts
+++ b/packages/mesh/src/entry.ts
@@ -1,6 +1,6 @@
 /** Requests of the callers beside this node: finds the route of each and lets it pass. */
 import type {CallerRequest, FinalAnswer, OwnAnswer} from './caller-request.js';
-import {shortRetryAfter} from './decisions/retry-after-time.js';
+import {shortRetryAfter} from './decisions/return-time.js';
 import {
 	createPassage,
 	type PassageEnd,
