--- a/packages/mesh/__tests__/quota-fleet.ts
+++ b/packages/mesh/__tests__/quota-fleet.ts
@@ -8,10 +8,10 @@
 import {createTicker} from '../src/ticker.js';
 import type {Workspace} from '../src/workspace.js';
 
-/** What came of one request. */
+/** The result of one request. */
 export type PlayedRequest = {at: number; isAdmitted: boolean};
 
-/** How a fleet is laid out. */
+/** The structure of a fleet. */
 export type FleetOptions = {
 	nodes: number;
 	dataCentres: number;
@@ -19,7 +19,7 @@
 	seed: number;
 };
 
-/** Milliseconds from one node to another. */
+/** The delay between two nodes, in milliseconds. */
 const linkDelay = 5;
 
 type FleetNode = {
@@ -28,7 +28,7 @@
 	controller: AbortController;
 };
 
-/** Creates a fleet whose nodes know each other. */
+/** Creates a fleet in which every node has all others as members. */
 export function createQuotaFleet(options: FleetOptions) {
 	const clock = createVirtualClock();
 	const random = createRandom(options.seed);
@@ -99,7 +99,7 @@
 	};
 
 	for (const member of members) {
-		// Nodes don't tick in step.
+		// The nodes' periods start at different times.
 		clock.setTimer(random.fraction() * 300, () => {
 			start(member);
 		});
@@ -111,7 +111,7 @@
 		clock,
 		requests,
 		members,
-		/** Callers ask so many requests a second until the instant, at nodes drawn by weight. */
+		/** Sends requests at a mean rate until the given time, to nodes drawn by weight. */
 		ask(
 			perSecond: number,
 			until: number,
@@ -152,7 +152,7 @@
 		cut(isNowCut: (from: Member, to: Member) => boolean) {
 			isCut = isNowCut;
 		},
-		/** Ends nodes at once, and starts them again with nothing in mind. */
+		/** Stops nodes immediately, and starts them again without their state. */
 		restart(isAffected: (member: Member) => boolean, downTime: number) {
 			for (const member of members.filter((one) => isAffected(one))) {
 				isDown.add(member.node);
@@ -169,7 +169,7 @@
 	};
 }
 
-/** The most requests that were let in within any span of the length. */
+/** The maximum number of requests admitted within any window of the given length. */
 export function maxWithin(requests: PlayedRequest[], span: number): number {
 	const instants = requests
 		.filter(({isAdmitted}) => isAdmitted)
--- a/packages/mesh/__tests__/shed-order.spec.ts
+++ b/packages/mesh/__tests__/shed-order.spec.ts
@@ -31,10 +31,10 @@
 		expect(shareRefused(0.25, slices.get('pay')!)).to.equal(0);
 	});
 
-	it('lets what costs next to nothing go with what is more important', () => {
-		// A lookup takes a fifth of the slots that a booking takes, and is a little
-		// less important. Refused before any booking, five users get no answer for
-		// each booking that fits in their place.
+	it('refuses what costs next to nothing together with what is more important', () => {
+		// A lookup takes a fifth of the slots that a booking takes, and is slightly
+		// less important. If lookups were refused before any booking, five users
+		// would get no answer for each booking that fits in their place.
 		const slices = orderLoad([
 			{kind: 'book', priority: 0, requests: 100, cost: 440},
 			{kind: 'look', priority: 1, requests: 80, cost: 88},
@@ -47,9 +47,9 @@
 		expect(shareAt(0.4, 'look')).to.be.closeTo(shareAt(0.4, 'book'), 1e-9);
 	});
 
-	it('goes on serving some of each kind until all have given most', () => {
-		// Of the least important requests none would be served for minutes, and
-		// their callers take the service for dead.
+	it('keeps serving some of each kind until all have shed most of their load', () => {
+		// Otherwise none of the least important requests would be served for minutes,
+		// and their callers would take the service to be down.
 		const slices = orderLoad([
 			{kind: 'pay', priority: 0, requests: 10, cost: 100},
 			{kind: 'look', priority: 1, requests: 10, cost: 50},
@@ -58,7 +58,7 @@
 		expect(shareRefused(1, slices.get('look')!)).to.be.below(0.98);
 	});
 
-	it('frees as much with each step of the level, for any kinds', () => {
+	it('frees the same amount with each step of the level, for any kinds', () => {
 		const demand = fc.record({
 			requests: fc.integer({min: 1, max: 500}),
 			cost: fc.integer({min: 1, max: 300}),
@@ -97,7 +97,7 @@
 		priority: 2,
 	});
 
-	/** Pages call records twice, records call states four times; commands are states' own, downloads call nobody. */
+	/** Pages call records twice, records call state four times; commands run at the device itself, downloads make no calls. */
 	const createKnown = () => {
 		const graph = createCallGraph();
 		graph.setProfiles('node-1', 'panel', [
@@ -156,15 +156,15 @@
 		return {graph, pressure, setLevels};
 	};
 
-	it('adds up what a whole request takes', () => {
+	it('sums the cost of a request over its calls', () => {
 		const costAt = createKnown().graph.costsOf('device');
 		expect(costAt('page', 'panel')).to.be.closeTo(176, 1e-9);
 		expect(costAt('download', 'archive')).to.equal(0);
 		expect(costAt('command', 'device')).to.equal(70);
 	});
 
-	it('takes a route for one that calls until some node is certain of the opposite', () => {
-		// A node that has just started has seen next to nothing of a route.
+	it('assumes that a route makes calls until some node is certain that it makes none', () => {
+		// A node that has just started has seen almost no requests of a route.
 		const graph = createCallGraph();
 		const told = {route: 'download', runTime: 70, calls: []};
 		expect(graph.mayCall('download', 'archive')).to.equal(true);
@@ -174,9 +174,9 @@
 		expect(graph.mayCall('download', 'archive')).to.equal(false);
 	});
 
-	it('knows a route only when all is known that it leads to', () => {
-		// Pages are known to call records before records are known to call states.
-		// Taken for known, pages cost the states nothing, and all of them are let in
+	it('knows a route only when all routes that it leads to are known', () => {
+		// Pages are known to call records before records are known to call states. If
+		// pages counted as known, they would cost the states nothing and all be admitted,
 		// while everything else is refused for a service that is full of their calls.
 		const graph = createCallGraph();
 		const tell = (
@@ -206,7 +206,7 @@
 		expect(graph.isKnown('page', 'panel')).to.equal(true);
 	});
 
-	it('ends at a cycle of calls', () => {
+	it('terminates at a cycle of calls', () => {
 		const graph = createCallGraph();
 		graph.setProfiles('node', 'service', [
 			{
@@ -220,10 +220,10 @@
 		expect(graph.isKnown('again', 'service')).to.equal(true);
 	});
 
-	it('is worked out in a moment when everything seems to call everything', () => {
-		// In the first second of a node most routes look like calls, since few nodes
-		// have told of them yet, so each seems to call all others. Followed along
-		// every path, the sum takes longer than the node has, and its callers wait.
+	it('is calculated quickly when every route seems to call every other', () => {
+		// In the first second of a node most routes look like calls, because few nodes
+		// have announced theirs, so each seems to call all others. Following every path
+		// would take longer than the node has, and its callers would wait.
 		const graph = createCallGraph();
 		const names = Array.from({length: 12}, (_, index) => `route-${index}`);
 		const calls = names.map((route) => ({route, count: 0.1}));
@@ -244,9 +244,10 @@
 		expect(steps).to.equal(names.length);
 	});
 
-	it('lays the level of a deep service only on work that needs it', () => {
-		// Downloads come to the archive, which serves the records of pages too.
-		// Refused for the device, which they never use, they are lost for nothing.
+	it('applies the level of a deep service only to requests that need it', () => {
+		// Downloads come to the archive, which also serves the records of pages. If
+		// they were refused for the device, which they never use, they would be lost
+		// for nothing.
 		const {pressure, setLevels} = createKnown();
 		setLevels({device: 0.7});
 		expect(pressure.shareRefused(workOf('page', 'panel'))).to.be.above(0.6);
@@ -254,7 +255,7 @@
 		expect(pressure.shareRefused(workOf('unknown', 'archive'))).to.equal(0.7);
 	});
 
-	it('refuses by the cost at the full service what leads to it', () => {
+	it('refuses requests by their cost at the full service', () => {
 		const {pressure, setLevels} = createKnown();
 		setLevels({device: 0.5});
 		const page = pressure.shareRefused(workOf('page', 'panel'));
@@ -262,7 +263,7 @@
 		expect(pressure.shareRefused(workOf('command', 'device'))).to.equal(0);
 	});
 
-	it('goes by the highest share where a request needs two full services', () => {
+	it('uses the highest ratio where a request needs two full services', () => {
 		const {pressure, setLevels} = createKnown();
 		const page = workOf('page', 'panel');
 		setLevels({device: 0.5, archive: 0.2});
@@ -271,7 +272,7 @@
 		expect(both).to.equal(pressure.shareRefused(page));
 	});
 
-	it('refuses by the level itself while nothing is known of the costs', () => {
+	it('refuses by the level itself while no costs are known', () => {
 		const pressure = createRoutePressure({
 			clock: createVirtualClock(),
 			graph: createCallGraph(),
--- a/packages/mesh/src/decisions/mesh-policy.ts
+++ b/packages/mesh/src/decisions/mesh-policy.ts
@@ -9,13 +9,15 @@
 
 /** Mechanisms that can be disabled by name, each with its effect. */
 export const mechanisms = {
-	offerAgain: 'a target that declines a request is offered it again',
-	levelOfDeclined: 'the level rises while requests end declined',
-	levelByRoute: 'the level of a service concerns only work that needs it',
-	dearFirst: 'within a priority, what costs the full service most goes first',
-	nearEndFirst: 'new work that makes no calls waits as calls do',
-	returnInObjective: 'refused callers come back within their objective',
-	shedNew: 'entries refuse new work by the level',
+	offerAgain: 'a declined request is offered to the target again',
+	levelOfDeclined: 'the shed level rises while requests end declined',
+	levelByRoute:
+		'the shed level of a service applies only to requests that need it',
+	dearFirst:
+		'within a priority, requests that cost the full service most are refused first',
+	nearEndFirst: 'new requests that make no calls are queued like calls',
+	returnInObjective: 'refused callers retry within their objective',
+	shedNew: 'entry nodes refuse new requests by the shed level',
 } as const;
 
 export type Mechanism = keyof typeof mechanisms;
--- a/packages/mesh/src/decisions/transit-delay.ts
+++ b/packages/mesh/src/decisions/transit-delay.ts
@@ -11,7 +11,7 @@
 
 /** The delays of one link. */
 export type TransitDelay = {
-	/** The delay beyond that of the fastest recent message; both times are in milliseconds of the local steady clock of either node. */
+	/** The delay in milliseconds beyond that of the fastest recent message; each time is by the steady clock of its own node. */
 	measure(sentAt: number, receivedAt: number): number;
 };
 
