--- a/packages/mesh/__tests__/shed-order.spec.ts
+++ b/packages/mesh/__tests__/shed-order.spec.ts
@@ -98,7 +98,7 @@
 	});
 
 	/** Pages call records twice, records call state four times; commands run at the device itself, downloads make no calls. */
-	const createKnown = () => {
+	const createFixture = () => {
 		const graph = createCallGraph();
 		graph.setProfiles('node-1', 'panel', [
 			{
@@ -157,7 +157,7 @@
 	};
 
 	it('sums the cost of a request over its calls', () => {
-		const costAt = createKnown().graph.costsOf('device');
+		const costAt = createFixture().graph.costsOf('device');
 		expect(costAt('page', 'panel')).to.be.closeTo(176, 1e-9);
 		expect(costAt('download', 'archive')).to.equal(0);
 		expect(costAt('command', 'device')).to.equal(70);
@@ -166,11 +166,11 @@
 	it('assumes that a route makes calls until some node is certain that it makes none', () => {
 		// A node that has just started has seen almost no requests of a route.
 		const graph = createCallGraph();
-		const told = {route: 'download', runTime: 70, calls: []};
+		const profile = {route: 'download', runTime: 70, calls: []};
 		expect(graph.mayCall('download', 'archive')).to.equal(true);
-		graph.setProfiles('node-1', 'archive', [{...told, isLeaf: false}]);
+		graph.setProfiles('node-1', 'archive', [{...profile, isLeaf: false}]);
 		expect(graph.mayCall('download', 'archive')).to.equal(true);
-		graph.setProfiles('node-2', 'archive', [{...told, isLeaf: true}]);
+		graph.setProfiles('node-2', 'archive', [{...profile, isLeaf: true}]);
 		expect(graph.mayCall('download', 'archive')).to.equal(false);
 	});
 
@@ -179,7 +179,7 @@
 		// pages counted as known, they would cost the states nothing and all be admitted,
 		// while everything else is refused for a service that is full of their calls.
 		const graph = createCallGraph();
-		const tell = (
+		const setProfile = (
 			service: string,
 			route: string,
 			called: string[],
@@ -195,14 +195,14 @@
 			]);
 		};
 
-		tell('panel', 'page', ['record'], false);
+		setProfile('panel', 'page', ['record'], false);
 		expect(graph.isKnown('page', 'panel')).to.equal(false);
-		tell('archive', 'record', [], false);
+		setProfile('archive', 'record', [], false);
 		expect(graph.isKnown('page', 'panel')).to.equal(false);
-		tell('archive', 'record', ['state'], false);
-		tell('device', 'state', [], false);
+		setProfile('archive', 'record', ['state'], false);
+		setProfile('device', 'state', [], false);
 		expect(graph.isKnown('page', 'panel')).to.equal(false);
-		tell('device', 'state', [], true);
+		setProfile('device', 'state', [], true);
 		expect(graph.isKnown('page', 'panel')).to.equal(true);
 	});
 
@@ -248,7 +248,7 @@
 		// Downloads come to the archive, which also serves the records of pages. If
 		// they were refused for the device, which they never use, they would be lost
 		// for nothing.
-		const {pressure, setLevels} = createKnown();
+		const {pressure, setLevels} = createFixture();
 		setLevels({device: 0.7});
 		expect(pressure.shareRefused(workOf('page', 'panel'))).to.be.above(0.6);
 		expect(pressure.shareRefused(workOf('download', 'archive'))).to.equal(0);
@@ -256,7 +256,7 @@
 	});
 
 	it('refuses requests by their cost at the full service', () => {
-		const {pressure, setLevels} = createKnown();
+		const {pressure, setLevels} = createFixture();
 		setLevels({device: 0.5});
 		const page = pressure.shareRefused(workOf('page', 'panel'));
 		expect(page).to.be.within(0.5, 0.55);
@@ -264,7 +264,7 @@
 	});
 
 	it('uses the highest ratio where a request needs two full services', () => {
-		const {pressure, setLevels} = createKnown();
+		const {pressure, setLevels} = createFixture();
 		const page = workOf('page', 'panel');
 		setLevels({device: 0.5, archive: 0.2});
 		const both = pressure.shareRefused(page);
--- a/packages/mesh/src/decisions/peer-subset.ts
+++ b/packages/mesh/src/decisions/peer-subset.ts
@@ -114,10 +114,10 @@
 	const adapt = (extra: number, isFull: boolean) =>
 		isFull ? Math.min(maxExtra, extra + extraStep) : Math.max(0, extra - 1);
 	return {
-		update({isRequested: isAsked, isNearFull, isFull}) {
-			nearExtra = adapt(nearExtra, isAsked && isNearFull);
-			farExtra = adapt(farExtra, isAsked && isFull);
-			const base = isAsked ? activeSubsetSize : idleSubsetSize;
+		update({isRequested, isNearFull, isFull}) {
+			nearExtra = adapt(nearExtra, isRequested && isNearFull);
+			farExtra = adapt(farExtra, isRequested && isFull);
+			const base = isRequested ? activeSubsetSize : idleSubsetSize;
 			const near = base.near + nearExtra;
 			return {near, total: near + (base.total - base.near) + farExtra};
 		},
