--- a/packages/mesh/__tests__/gate.spec.ts
+++ b/packages/mesh/__tests__/gate.spec.ts
@@ -1,65 +1,72 @@
 import {expect} from 'chai';
-import {createGate, type GateRequest} from '../src/decisions/gate.js';
+import {
+	createTargetAdmission,
+	type AdmissionRequest,
+} from '../src/decisions/target-admission.js';
 import {egretspokePolicy} from '../src/decisions/mesh-policy.js';
 
-describe('a gate', () => {
-	const inner: GateRequest = {
+describe('target admission', () => {
+	const innerCall: AdmissionRequest = {
 		isNearCompletion: true,
 		priority: 2,
 		maxWait: 300,
 	};
-	const fresh: GateRequest = {
+	const newRequest: AdmissionRequest = {
 		isNearCompletion: false,
 		priority: 0,
 		maxWait: 300,
 	};
 
-	const createFullGate = () => {
-		const gate = createGate<string>(egretspokePolicy.limitOf(21));
+	const createFullAdmission = () => {
+		const admission = createTargetAdmission<string>(
+			egretspokePolicy.limitOf(21),
+		);
 		for (let index = 0; index < 19; index++) {
-			gate.offer(fresh, `running ${index}`, 0);
+			admission.offer(newRequest, `running ${index}`, 0);
 		}
 
-		return gate;
+		return admission;
 	};
 
-	it('hands over no more than nineteen of twenty slots', () => {
-		const gate = createFullGate();
-		expect(gate.offer(fresh, 'one more', 0)).to.equal('wait');
-		expect(gate.running()).to.equal(19);
+	it('runs at most nineteen requests with twenty-one slots', () => {
+		const admission = createFullAdmission();
+		expect(admission.offer(newRequest, 'one more', 0)).to.equal('wait');
+		expect(admission.running()).to.equal(19);
 	});
 
-	it('runs calls of work that has begun before new work of a higher priority', () => {
-		const gate = createFullGate();
-		gate.offer(fresh, 'new', 0);
-		gate.offer(inner, 'call', 0);
-		gate.finish(30);
-		expect(gate.next()).to.equal('call');
+	it('runs calls of running requests before new requests of a higher priority', () => {
+		const admission = createFullAdmission();
+		admission.offer(newRequest, 'new', 0);
+		admission.offer(innerCall, 'call', 0);
+		admission.finish(30);
+		expect(admission.next()).to.equal('call');
 	});
 
-	it('refuses at once what would wait longer than it may', () => {
-		const gate = createFullGate();
+	it('refuses a request immediately when its expected wait exceeds its maximum', () => {
+		const admission = createFullAdmission();
 		for (let index = 0; index < 40; index++) {
-			gate.offer({...fresh, maxWait: 1000}, `waiting ${index}`, 0);
+			admission.offer({...newRequest, maxWait: 1000}, `waiting ${index}`, 0);
 		}
 
-		expect(gate.offer({...fresh, maxWait: 20}, 'late', 0)).to.equal('refuse');
+		expect(admission.offer({...newRequest, maxWait: 20}, 'late', 0)).to.equal(
+			'refuse',
+		);
 	});
 
-	it('gives back those whose patience is over, once', () => {
-		const gate = createFullGate();
-		gate.offer({...fresh, maxWait: 50}, 'impatient', 0);
-		gate.offer({...fresh, maxWait: 500}, 'patient', 0);
-		expect(gate.expire(100)).to.deep.equal(['impatient']);
-		expect(gate.expire(100)).to.deep.equal([]);
-		expect(gate.waiting()).to.equal(1);
+	it('returns requests whose maximum wait has passed, once', () => {
+		const admission = createFullAdmission();
+		admission.offer({...newRequest, maxWait: 50}, 'impatient', 0);
+		admission.offer({...newRequest, maxWait: 500}, 'patient', 0);
+		expect(admission.expire(100)).to.deep.equal(['impatient']);
+		expect(admission.expire(100)).to.deep.equal([]);
+		expect(admission.waiting()).to.equal(1);
 	});
 
-	it('forgets one that was withdrawn', () => {
-		const gate = createFullGate();
-		gate.offer(fresh, 'left', 0);
-		expect(gate.withdraw('left')).to.equal(true);
-		gate.finish(30);
-		expect(gate.next()).to.equal(undefined);
+	it('removes a withdrawn request from the queue', () => {
+		const admission = createFullAdmission();
+		admission.offer(newRequest, 'left', 0);
+		expect(admission.withdraw('left')).to.equal(true);
+		admission.finish(30);
+		expect(admission.next()).to.equal(undefined);
 	});
 });
--- a/packages/mesh/__tests__/peer-subset.spec.ts
+++ b/packages/mesh/__tests__/peer-subset.spec.ts
@@ -1,10 +1,10 @@
 import {expect} from 'chai';
 import {createNameRank} from '../src/decisions/name-rank.js';
 import {
-	askedSize,
+	activeSubsetSize,
 	chooseSubset,
 	createAdaptiveSize,
-	idleSize,
+	idleSubsetSize,
 	rankMembers,
 	type SubsetMember,
 } from '../src/decisions/peer-subset.js';
@@ -34,25 +34,27 @@
 		}));
 	return chooseSubset(
 		rankMembers(createNameRank(self.node), seen),
-		askedSize,
+		activeSubsetSize,
 		({node}) => !down.has(node),
 	).map(({node}) => node);
 }
 
-describe('the subset of a service that a node is linked to', () => {
+describe('the subset of a service to which a node is linked', () => {
 	for (const size of [3, 15, 100, 1000]) {
 		describe(`in a fleet of ${size}`, () => {
 			const fleet = createFleet(size);
 			const subsets = fleet.map((self) => subsetOf(self, fleet));
 
-			it('is bounded, and complete where the fleet is smaller', () => {
+			it('is bounded, and contains all members of a smaller fleet', () => {
 				for (const subset of subsets) {
-					expect(subset.length).to.equal(Math.min(askedSize.total, size - 1));
+					expect(subset.length).to.equal(
+						Math.min(activeSubsetSize.total, size - 1),
+					);
 				}
 			});
 
-			it('names every member, and none far more often than the others', () => {
-				// A member that no node is linked to would idle while others are full.
+			it('contains every member at some node, and none far more often than the others', () => {
+				// A member to which no node is linked would idle while others are full.
 				const counts = new Map<string, number>();
 				for (const node of subsets.flat()) {
 					counts.set(node, (counts.get(node) ?? 0) + 1);
@@ -69,7 +71,7 @@
 	describe('when members change', () => {
 		const fleet = createFleet(200);
 
-		it('changes by one at most when one member leaves', () => {
+		it('changes by at most one member when a member leaves', () => {
 			const left = fleet.slice(1);
 			for (const self of left) {
 				const before = subsetOf(self, fleet);
@@ -79,9 +81,9 @@
 			}
 		});
 
-		it('leaves targets to use when a whole data centre is lost', () => {
-			// Subsets of near members alone would leave a data centre without the
-			// targets of others once its own are gone.
+		it('still has targets when a whole data centre is lost', () => {
+			// With near members only, a data centre whose own targets are lost could
+			// not use those of others.
 			const down = new Set(
 				fleet.filter(({dataCentre}) => dataCentre === 0).map(({node}) => node),
 			);
@@ -89,11 +91,13 @@
 				const working = subsetOf(self, fleet, down).filter(
 					(node) => !down.has(node),
 				);
-				expect(working.length).to.be.at.least(askedSize.total - askedSize.near);
+				expect(working.length).to.be.at.least(
+					activeSubsetSize.total - activeSubsetSize.near,
+				);
 			}
 		});
 
-		it('takes another member beside one that can not take work, and keeps that one', () => {
+		it('adds another member when one can not take work, and keeps that one', () => {
 			const [self] = fleet;
 			const before = subsetOf(self!, fleet);
 			const after = subsetOf(self!, fleet, new Set([before[0]!]));
@@ -101,15 +105,15 @@
 			expect(after.length).to.equal(before.length + 1);
 		});
 
-		it('is bounded while nobody can take work', () => {
+		it('is bounded while no member can take work', () => {
 			const all = new Set(fleet.map(({node}) => node));
 			const subset = subsetOf(fleet[0]!, fleet, all);
 			expect(subset.length).to.be.at.most(
-				3 * (askedSize.near + askedSize.total),
+				3 * (activeSubsetSize.near + activeSubsetSize.total),
 			);
 		});
 
-		it('takes members that could not be reached for long after all others', () => {
+		it('ranks unreachable members after all others', () => {
 			const members = fleet.map(({node}, index) => ({
 				node,
 				isNear: true,
@@ -124,36 +128,38 @@
 });
 
 describe('the size of a subset', () => {
-	it('is small while nobody asks for the service', () => {
+	it('is small while the service is not requested', () => {
 		const size = createAdaptiveSize();
 		expect(
-			size.update({isAsked: false, isNearFull: true, isFull: true}),
-		).to.deep.equal(idleSize);
+			size.update({isRequested: false, isNearFull: true, isFull: true}),
+		).to.deep.equal(idleSubsetSize);
 	});
 
-	it('grows by near members first, to a bound, while those that are linked are full', () => {
+	it('grows by near members first, up to a bound, while the linked ones are full', () => {
 		const size = createAdaptiveSize();
-		const state = {isAsked: true, isNearFull: true, isFull: false};
+		const state = {isRequested: true, isNearFull: true, isFull: false};
 		const first = size.update(state);
-		expect(first.near).to.be.above(askedSize.near);
-		expect(first.total - first.near).to.equal(askedSize.total - askedSize.near);
+		expect(first.near).to.be.above(activeSubsetSize.near);
+		expect(first.total - first.near).to.equal(
+			activeSubsetSize.total - activeSubsetSize.near,
+		);
 		let last = first;
 		for (let period = 0; period < 100; period++) {
 			last = size.update({...state, isFull: true});
 		}
 
-		expect(last.total).to.be.at.most(3 * askedSize.total);
+		expect(last.total).to.be.at.most(3 * activeSubsetSize.total);
 	});
 
 	it('shrinks again once there is room', () => {
 		const size = createAdaptiveSize();
-		size.update({isAsked: true, isNearFull: true, isFull: true});
+		size.update({isRequested: true, isNearFull: true, isFull: true});
 		for (let period = 0; period < 10; period++) {
-			size.update({isAsked: true, isNearFull: false, isFull: false});
+			size.update({isRequested: true, isNearFull: false, isFull: false});
 		}
 
 		expect(
-			size.update({isAsked: true, isNearFull: false, isFull: false}),
-		).to.deep.equal(askedSize);
+			size.update({isRequested: true, isNearFull: false, isFull: false}),
+		).to.deep.equal(activeSubsetSize);
 	});
 });
--- a/packages/mesh/__tests__/quota-fleet.ts
+++ b/packages/mesh/__tests__/quota-fleet.ts
@@ -8,10 +8,10 @@
 import {createTicker} from '../src/ticker.js';
 import type {Workspace} from '../src/workspace.js';
 
-/** What came of one request. */
+/** The result of one request. */
 export type PlayedRequest = {at: number; isAdmitted: boolean};
 
-/** How a fleet is laid out. */
+/** The structure of a fleet. */
 export type FleetOptions = {
 	nodes: number;
 	dataCentres: number;
@@ -19,16 +19,16 @@
 	seed: number;
 };
 
-/** Milliseconds from one node to another. */
-const wayTime = 5;
+/** The delay between two nodes, in milliseconds. */
+const linkDelay = 5;
 
 type FleetNode = {
 	member: Member;
 	exchange: QuotaExchange;
-	life: AbortController;
+	controller: AbortController;
 };
 
-/** Creates a fleet whose nodes know each other. */
+/** Creates a fleet in which every node has all others as members. */
 export function createQuotaFleet(options: FleetOptions) {
 	const clock = createVirtualClock();
 	const random = createRandom(options.seed);
@@ -52,7 +52,7 @@
 	};
 
 	const deliver = (from: FleetNode, to: string, message: PeerMessage) => {
-		clock.setTimer(wayTime, () => {
+		clock.setTimer(linkDelay, () => {
 			const receiver = nodes.get(to);
 			if (
 				message.kind !== 'quotaUse' ||
@@ -63,12 +63,12 @@
 			}
 
 			receiver.exchange.receiveUse(message, (reply) => {
-				clock.setTimer(wayTime, () => {
-					const isBack =
+				clock.setTimer(linkDelay, () => {
+					const isDelivered =
 						reply.kind === 'quotaGrant' &&
 						isLinked(receiver.member, from.member.node) &&
 						nodes.get(from.member.node) === from;
-					if (isBack) {
+					if (isDelivered) {
 						from.exchange.receiveGrant(reply);
 					}
 				});
@@ -77,7 +77,7 @@
 	};
 
 	const start = (member: Member) => {
-		const life = new AbortController();
+		const controller = new AbortController();
 		const exchange = createQuotaExchange({
 			clock,
 			random: random.fork(),
@@ -93,13 +93,13 @@
 			workspaces: () => workspaces,
 			tolerance: {window: 5000, overage: 0.1, slack: 20},
 		});
-		const node: FleetNode = {member, exchange, life};
+		const node: FleetNode = {member, exchange, controller};
 		nodes.set(member.node, node);
-		exchange.start(createTicker(clock, life.signal));
+		exchange.start(createTicker(clock, controller.signal));
 	};
 
 	for (const member of members) {
-		// Nodes don't tick in step.
+		// The nodes' periods start at different times.
 		clock.setTimer(random.fraction() * 300, () => {
 			start(member);
 		});
@@ -111,27 +111,27 @@
 		clock,
 		requests,
 		members,
-		/** Callers ask so many requests a second until the instant, at nodes drawn by weight. */
+		/** Sends requests at a mean rate until the given time, to nodes drawn by weight. */
 		ask(
 			perSecond: number,
 			until: number,
 			weightOf: (member: Member) => number,
 		) {
-			const weighed = members.map((member) => ({
+			const weighted = members.map((member) => ({
 				member,
 				weight: weightOf(member),
 			}));
-			const total = weighed.reduce((sum, {weight}) => sum + weight, 0);
+			const total = weighted.reduce((sum, {weight}) => sum + weight, 0);
 			const draw = () => {
 				let left = random.fraction() * total;
-				for (const {member, weight} of weighed) {
+				for (const {member, weight} of weighted) {
 					left -= weight;
 					if (left < 0) {
 						return member;
 					}
 				}
 
-				return weighed.at(-1)!.member;
+				return weighted.at(-1)!.member;
 			};
 
 			while (clock.now() < until) {
@@ -152,11 +152,11 @@
 		cut(isNowCut: (from: Member, to: Member) => boolean) {
 			isCut = isNowCut;
 		},
-		/** Ends nodes at once, and starts them again with nothing in mind. */
-		restart(isConcerned: (member: Member) => boolean, downTime: number) {
-			for (const member of members.filter((one) => isConcerned(one))) {
+		/** Stops nodes immediately, and starts them again without their state. */
+		restart(isAffected: (member: Member) => boolean, downTime: number) {
+			for (const member of members.filter((one) => isAffected(one))) {
 				isDown.add(member.node);
-				nodes.get(member.node)?.life.abort();
+				nodes.get(member.node)?.controller.abort();
 				clock.setTimer(downTime * (0.5 + random.fraction()), () => {
 					isDown.delete(member.node);
 					start(member);
@@ -169,20 +169,20 @@
 	};
 }
 
-/** The most requests that were let in within any span of the length. */
-export function mostWithin(requests: PlayedRequest[], span: number): number {
+/** The maximum number of requests admitted within any window of the given length. */
+export function maxWithin(requests: PlayedRequest[], span: number): number {
 	const instants = requests
 		.filter(({isAdmitted}) => isAdmitted)
 		.map(({at}) => at);
 	let first = 0;
-	let most = 0;
+	let max = 0;
 	for (const [index, at] of instants.entries()) {
 		while (instants[first]! <= at - span) {
 			first++;
 		}
 
-		most = Math.max(most, index - first + 1);
+		max = Math.max(max, index - first + 1);
 	}
 
-	return most;
+	return max;
 }
--- a/packages/mesh/src/decisions/own-calls.ts
+++ b/packages/mesh/src/decisions/own-calls.ts
@@ -1,60 +1,60 @@
 /**
- * What a node sees of the calls that the target beside it makes: whether it
- * makes any, and how much of its work is a repeat.
+ * Tracks the calls of the local target: whether it makes any, and which ratio
+ * of its work is repeated.
  *
- * Load pattern: a service in the middle of a call graph turns away work, which
- * is offered again. The calls of that work are repeats for the services below,
- * which can't tell them from others; without a word of it, each level would
- * spend the whole bound on repeats and the lowest would get the sum.
+ * Load pattern: a service in the middle of a call graph declines work, which is
+ * then offered again. The calls of that work are repeats for the services
+ * below, which can't recognise them. Unless this ratio is passed on, each
+ * layer spends the whole bound on repeats and the lowest one gets the sum.
  */
 
 /** The calls of one target. */
-export type OwnCalls = {
-	/** It gets a request, of which this share from 0 to 1 is a repeat. */
-	noteRun(repeatShare: number): void;
-	/** A request that it got is offered again. */
-	noteRepeat(): void;
-	noteCall(): void;
-	/** Whether it makes calls; so it is taken while little has been seen. */
-	any(): boolean;
-	/** The share of its work, from 0 to 1, that is a repeat. */
+export type TargetCalls = {
+	/** Records a request handed to the target; the given share of it, from 0 to 1, is a repeat. */
+	recordRun(repeatShare: number): void;
+	/** Records that a request is offered to the target again. */
+	recordRepeat(): void;
+	recordCall(): void;
+	/** Whether the target makes calls; true until enough requests have been recorded. */
+	makesCalls(): boolean;
+	/** The ratio of its work, from 0 to 1, that is repeated. */
 	repeatShare(): number;
 };
 
-/** Calls for each request from which a target is taken to make calls: a few come from operators' checks. */
-const leastCalls = 0.05;
-/** Requests without which nothing can be said. */
-const leastRuns = 50;
-/** Requests after which what was seen counts half. */
+/** Calls per request from which a target counts as making calls: operators' checks cause a few. */
+const minCallRatio = 0.05;
+/** The minimum number of requests for an estimate. */
+const minRuns = 50;
+/** The number of requests after which both counts are halved. */
 const memory = 2000;
-/** The weight of one request in the share of repeats. */
+/** The weight of one request in the ratio of repeats. */
 const shareWeight = 1 / 32;
 
-/** Creates the knowledge of a target of which nothing was seen. */
-export function createOwnCalls(): OwnCalls {
+/** Creates the counts of a target without requests. */
+export function createTargetCalls(): TargetCalls {
 	let runs = 0;
 	let calls = 0;
 	let repeatShare = 0;
-	const addShare = (share: number) => {
+	const updateShare = (share: number) => {
 		repeatShare += (share - repeatShare) * shareWeight;
 	};
 
 	return {
-		noteRun(share) {
+		recordRun(share) {
 			runs++;
-			addShare(share);
+			updateShare(share);
 			if (runs > memory) {
 				runs /= 2;
 				calls /= 2;
 			}
 		},
-		noteRepeat() {
-			addShare(1);
+		recordRepeat() {
+			updateShare(1);
 		},
-		noteCall() {
+		recordCall() {
 			calls++;
 		},
-		any: () => runs < leastRuns || calls / runs >= leastCalls,
+		makesCalls: () => runs < minRuns || calls / runs >= minCallRatio,
 		repeatShare: () => repeatShare,
 	};
 }
--- /dev/null
+++ b/packages/mesh/src/decisions/quota-allocation.ts
@@ -0,0 +1,213 @@
+/**
+ * Enforces the quotas of workspaces over all nodes.
+ *
+ * Load pattern: a workspace sends many times its usual load, spread over the
+ * nodes in any way; its quota limits the sum. Equal parts for all nodes would
+ * refuse most requests of a small workspace whose callers use only a few of
+ * them. So the nodes of a data centre report to one of them, the allocator. It
+ * exchanges sums with the allocators of the other data centres and grants each
+ * workspace one ratio for all nodes: 1 within the quota, else the fraction of
+ * the demand that fits.
+ *
+ * Reports are late. Requests admitted beyond the quota in the meantime are
+ * tracked as a debt, which is deducted from the next second's quota.
+ *
+ * When a reporter stops reporting, its part of the quota stays reserved for a
+ * while: it may be partitioned, and then it continues to spend exactly that part.
+ */
+import type {Quota, QuotaGrant, QuotaUse} from './quota-share.js';
+
+/** The source of a report: a node of the allocator's data centre, or another data centre as a whole. */
+export type Reporter = {kind: 'node' | 'dataCentre'; name: string};
+
+/** Sums reports and grants ratios; times are in milliseconds of the steady clock. */
+export type QuotaAllocation = {
+	/** Stores a report; it replaces the previous one of the same reporter. */
+	report(reporter: Reporter, uses: QuotaUse[], now: number): void;
+	/** Accounts for the time since the last call; called once per period. */
+	update(quotas: readonly Quota[], now: number): void;
+	/** The sums over this data centre's nodes. */
+	sums(now: number): QuotaUse[];
+	/** The grants for the named workspaces, as of the last update. */
+	grants(workspaces: Iterable<string>): QuotaGrant[];
+	/** The number of nodes of this data centre with a recent report. */
+	reportingNodes(now: number): number;
+	/** Whether enough time has passed since the start for reports to arrive, so that grants are reliable. */
+	isSettled(now: number): boolean;
+};
+
+/** Milliseconds after its start within which an allocator has too few reports to grant anything. */
+const learningDuration = 1200;
+/** Milliseconds without a report after which a reporter counts as silent. */
+const reportTimeout = 1200;
+/** The averaging time of a reporter's demand, in milliseconds. */
+const averagingTime = 2500;
+/** Milliseconds for which the part of a silent reporter stays reserved; shorter for a node, because its callers may have gone with it. */
+const reservationTimeouts: Record<Reporter['kind'], number> = {
+	node: 30_000,
+	dataCentre: 3_600_000,
+};
+/** Milliseconds within which a debt is repaid. */
+const repaymentTime = 1000;
+/** The maximum debt, in seconds of the rate: older excess lies outside every window. */
+const maxDebt = 5;
+/** Requests that a workspace may send beyond its burst: reports of a few requests arrive unevenly. */
+const tolerance = 3;
+/** The demand below which a workspace is dropped, in requests per second. */
+const minDemand = 0.01;
+const millisecondsPerSecond = 1000;
+
+type Demand = QuotaUse & {
+	/** The moving average of its demand, in requests per second. */
+	mean: number;
+	/** The fraction of the workspace's requests that this reporter received, as of its last report. */
+	fraction: number;
+};
+
+type Report = {
+	kind: Reporter['kind'];
+	at: number;
+	demands: Map<string, Demand>;
+};
+
+type Sum = Omit<QuotaUse, 'workspace'>;
+type Account = {level: number; requested: number; share: number};
+
+/** Creates the allocation of a node without reports. */
+export function createQuotaAllocation(startedAt: number): QuotaAllocation {
+	const reports = new Map<string, Report>();
+	let accounts = new Map<string, Account>();
+	let updatedAt = startedAt;
+	let current: readonly Quota[] = [];
+
+	const removeExpired = (now: number) => {
+		for (const [name, {kind, at}] of reports) {
+			if (now - at >= reservationTimeouts[kind]) {
+				reports.delete(name);
+			}
+		}
+	};
+
+	const meanOf = (workspace: string): number => {
+		let total = 0;
+		for (const {demands} of reports.values()) {
+			total += demands.get(workspace)?.mean ?? 0;
+		}
+
+		return total;
+	};
+
+	/** Sums the reporters of the given kinds; silent ones count with their reserved part of the rate. */
+	const sumOf = (
+		{workspace, rate}: Quota,
+		isCounted: (kind: Reporter['kind']) => boolean,
+		now: number,
+	): Sum => {
+		const sum: Sum = {requested: 0, admitted: 0, reserved: 0};
+		for (const {kind, at, demands} of reports.values()) {
+			const demand = isCounted(kind) ? demands.get(workspace) : undefined;
+			if (demand && now - at < reportTimeout) {
+				sum.requested += demand.requested;
+				sum.admitted += demand.admitted;
+				sum.reserved += demand.reserved;
+			} else if (demand) {
+				sum.reserved += demand.fraction * rate;
+			}
+		}
+
+		return sum;
+	};
+
+	const account = (quota: Quota, now: number): Account => {
+		const {requested, admitted, reserved} = sumOf(quota, () => true, now);
+		const level = accounts.get(quota.workspace)?.level ?? tolerance;
+		const rate = Math.max(0, quota.rate - reserved);
+		const elapsed = (now - updatedAt) / millisecondsPerSecond;
+		const changed = level + elapsed * (rate - admitted);
+		// A silent reporter may have used the burst.
+		const max = reserved > 0 ? 0 : quota.burst + tolerance;
+		const bounded = Math.max(-maxDebt * quota.rate, Math.min(max, changed));
+		const repayment = (bounded * millisecondsPerSecond) / repaymentTime;
+		const fits = Math.max(0, rate + repayment);
+		return {
+			level: bounded,
+			requested: meanOf(quota.workspace),
+			share: requested <= fits ? 1 : fits / requested,
+		};
+	};
+
+	const listLiveNodes = (now: number): Report[] =>
+		[...reports.values()].filter(
+			({kind, at}) => kind === 'node' && now - at < reportTimeout,
+		);
+
+	return {
+		report({kind, name}, uses, now) {
+			const key = `${kind} ${name}`;
+			const known = reports.get(key);
+			const weight = known ? Math.min(1, (now - known.at) / averagingTime) : 1;
+			const demands = new Map<string, Demand>();
+			for (const [workspace, {mean}] of known?.demands ?? []) {
+				const decayed = mean * (1 - weight);
+				if (decayed > minDemand) {
+					demands.set(workspace, createDemand(workspace, decayed));
+				}
+			}
+
+			for (const use of uses) {
+				const mean = demands.get(use.workspace)?.mean ?? 0;
+				demands.set(use.workspace, {
+					...use,
+					mean: mean + weight * use.requested,
+					fraction: 0,
+				});
+			}
+
+			reports.set(key, {kind, at: now, demands});
+			for (const demand of demands.values()) {
+				demand.fraction =
+					demand.mean / Math.max(minDemand, meanOf(demand.workspace));
+			}
+		},
+		update(quotas, now) {
+			removeExpired(now);
+			accounts = new Map(
+				quotas.map((quota) => [quota.workspace, account(quota, now)]),
+			);
+			updatedAt = now;
+			current = quotas;
+		},
+		sums(now) {
+			const uses: QuotaUse[] = [];
+			for (const quota of current) {
+				const sum = sumOf(quota, (kind) => kind === 'node', now);
+				if (sum.requested > 0 || sum.reserved > 0) {
+					uses.push({workspace: quota.workspace, ...sum});
+				}
+			}
+
+			return uses;
+		},
+		grants(workspaces) {
+			const grants: QuotaGrant[] = [];
+			for (const workspace of workspaces) {
+				const known = accounts.get(workspace);
+				if (known) {
+					grants.push({
+						workspace,
+						requested: known.requested,
+						share: known.share,
+					});
+				}
+			}
+
+			return grants;
+		},
+		reportingNodes: (now) => listLiveNodes(now).length,
+		isSettled: (now) => now - startedAt >= learningDuration,
+	};
+}
+
+function createDemand(workspace: string, mean: number): Demand {
+	return {workspace, requested: 0, admitted: 0, reserved: 0, mean, fraction: 0};
+}
--- a/packages/mesh/src/decisions/recent-share.ts
+++ b/packages/mesh/src/decisions/recent-share.ts
@@ -1,62 +1,64 @@
 /**
- * The share of the latest requests of which something holds, for controls.
+ * The ratio of recent requests for which a condition holds, as the input of a
+ * control loop.
  *
- * Load pattern: a target turns away half of its work for seconds and is then
- * well again, while entries let hardly anything in. A moving average over a
- * number of requests goes on telling of the bad seconds until as many good
- * requests have come, and nobody lets them come. So only the last moments
- * count, and few requests say nothing.
+ * Load pattern: a target declines half of its work for some seconds and then
+ * recovers, while entry nodes admit hardly any requests. A moving average over
+ * a number of requests would keep the old value until enough successful
+ * requests have replaced the failed ones, and these aren't admitted. So only a
+ * short time window counts, and too few requests give a ratio of 0.
  */
 
-/** The share. */
-export type RecentShare = {
-	note(holds: boolean, now: number): void;
-	/** From 0 to 1; 0 when too little happened lately. */
+/** The ratio; times are in milliseconds of the steady clock. */
+export type RecentRatio = {
+	/** Records a request and whether the condition holds for it. */
+	record(holds: boolean, now: number): void;
+	/** From 0 to 1; 0 when the window has too few requests. */
 	value(now: number): number;
 };
 
-/** Milliseconds of one slot. */
-const slotTime = 100;
-/** Slots that count. */
+/** The duration of one slot, in milliseconds. */
+const slotDuration = 100;
+/** Slots in the window. */
 const slotCount = 3;
-/** Requests that say nothing yet. */
-const leastRequests = 5;
+/** The minimum number of requests for a ratio. */
+const minRequests = 5;
 
-type Slot = {index: number; requests: number; holding: number};
+type Slot = {index: number; requests: number; matching: number};
 
-/** Creates a share of 0. */
-export function createRecentShare(): RecentShare {
+/** Creates a ratio of 0. */
+export function createRecentRatio(): RecentRatio {
 	const slots = Array.from({length: slotCount}, (): Slot => ({
 		index: -1,
 		requests: 0,
-		holding: 0,
+		matching: 0,
 	}));
 
 	return {
-		note(holds, now) {
-			const index = Math.floor(now / slotTime);
+		record(holds, now) {
+			const index = Math.floor(now / slotDuration);
 			const slot = slots[index % slotCount]!;
 			if (slot.index !== index) {
 				slot.index = index;
 				slot.requests = 0;
-				slot.holding = 0;
+				slot.matching = 0;
 			}
 
 			slot.requests++;
-			slot.holding += holds ? 1 : 0;
+			slot.matching += holds ? 1 : 0;
 		},
 		value(now) {
-			const oldest = Math.floor(now / slotTime) - slotCount;
+			const oldest = Math.floor(now / slotDuration) - slotCount;
 			let requests = 0;
-			let holding = 0;
+			let matching = 0;
 			for (const slot of slots) {
 				if (slot.index > oldest) {
 					requests += slot.requests;
-					holding += slot.holding;
+					matching += slot.matching;
 				}
 			}
 
-			return requests < leastRequests ? 0 : holding / requests;
+			return requests < minRequests ? 0 : matching / requests;
 		},
 	};
 }
--- a/packages/mesh/src/decisions/return-time.ts
+++ b/packages/mesh/src/decisions/return-time.ts
@@ -1,44 +1,50 @@
 /**
- * When a refused caller should come back.
+ * Calculates when a refused caller should retry.
  *
- * Load pattern: a burst of which a part is refused. Told the same time, all
- * that are refused come back as the next burst, and are refused again. Told to
- * come back when their objective is nearly over, those that are let in then
- * are answered too late to be of use. So the returns are spread, from a
- * moment's overload to half of the objective, which leaves the other half for
- * the answer. When nearly all are refused that is too soon: the cause will hardly
- * be gone, and a late answer is better than a second refusal.
+ * Load pattern: a burst of which a part is refused. With the same retry time
+ * for all, the refused requests arrive as the next burst and are refused again.
+ * With a time close to the end of their objective, the retries are admitted but
+ * answered too late to be useful. So the times are spread between a short
+ * minimum and half of the objective, which leaves the other half for the
+ * answer. When nearly all requests are refused, that is too early: the cause
+ * will probably persist, and a late answer is better than a second refusal.
  */
 
-/** Milliseconds after which a caller may come back when only a moment is missing. */
-export const shortReturn = 300;
-/** The part of the objective after which a caller comes back at the earliest, if that is sooner. */
-const earliestReturn = 0.2;
-/** The part of the objective after which a caller comes back at the latest. */
-const latestReturn = 0.5;
-/** The share of requests that is nearly all of them. */
-const nearlyAll = 0.9;
-/** Callers come back at most after this part of the time that they have left. */
-const mostOfTimeLeft = 1 / 3;
+/** The retry time for a short overload, in milliseconds. */
+export const shortRetryAfter = 300;
+/** The minimum retry time as a fraction of the objective, if that is sooner. */
+const minObjectiveRatio = 0.2;
+/** The maximum retry time as a fraction of the objective. */
+const maxObjectiveRatio = 0.5;
+/** The ratio of refused requests from which nearly all count as refused. */
+const nearlyAllRatio = 0.9;
+/** The maximum retry time as a fraction of the time that the caller has left. */
+const maxTimeLeftRatio = 1 / 3;
 
-/** What is known of the caller's time, in milliseconds. */
+/** What determines the retry time of a caller; times in milliseconds. */
 export type CallerTime = {
-	/** Until it gives up. */
+	/** Time until the caller gives up. */
 	timeLeft: number;
-	/** Within which an answer is worth most to it, counted from its arrival. */
+	/** Time from the arrival of the request within which an answer has its full value to the caller. */
 	objective: number;
-	/** The share of requests like this one, from 0 to 1, that is refused now. */
+	/** The ratio of similar requests, from 0 to 1, that are currently refused. */
 	refused: number;
 };
 
-/** Milliseconds until the return, for a fraction drawn from 0 to 1. */
-export function returnTime(
+/** Returns the milliseconds until the retry; `fraction` is drawn uniformly from 0 to 1. */
+export function retryAfterTime(
 	{timeLeft, objective, refused}: CallerTime,
 	fraction: number,
 ): number {
-	const most = Math.max(0, timeLeft) * mostOfTimeLeft;
-	const earliest = Math.min(most, shortReturn, objective * earliestReturn);
+	const max = Math.max(0, timeLeft) * maxTimeLeftRatio;
+	const earliest = Math.min(
+		max,
+		shortRetryAfter,
+		objective * minObjectiveRatio,
+	);
 	const latest =
-		refused < nearlyAll ? Math.min(most, objective * latestReturn) : most;
+		refused < nearlyAllRatio
+			? Math.min(max, objective * maxObjectiveRatio)
+			: max;
 	return earliest + Math.max(0, latest - earliest) * fraction;
 }
--- /dev/null
+++ b/packages/mesh/src/decisions/target-admission.ts
@@ -0,0 +1,201 @@
+/**
+ * Admission control for one target: decides whether a request runs, waits or
+ * is refused.
+ *
+ * Load pattern: a burst above what the target can run at once. A saturated
+ * target may stop answering, and work in its own queue can't be withdrawn or
+ * reordered. So no more requests are handed over than it runs at once, and the
+ * rest is queued here: first calls of requests that already run and new
+ * requests that make no further calls, then other new requests by priority,
+ * each in order of arrival. A request that can't run within its maximum wait is
+ * refused immediately, so that its caller can still try elsewhere.
+ */
+
+/** The properties of a request that admission depends on. */
+export type AdmissionRequest = {
+	/** It is a call of a running request, or a new request that makes no calls. */
+	isNearCompletion: boolean;
+	/** 0 is the highest priority. */
+	priority: number;
+	/** The maximum time that it may wait here, in milliseconds. */
+	maxWait: number;
+};
+
+type Waiting<T> = {
+	request: AdmissionRequest;
+	item: T;
+	expiresAt: number;
+	isGone: boolean;
+};
+
+/** The result of offering a request. */
+export type AdmissionDecision = 'run' | 'wait' | 'refuse';
+
+/** Admission control of one target; times are in milliseconds of the steady clock. */
+export type TargetAdmission<T> = {
+	/** Decides about a request; one that is to wait is queued. */
+	offer(request: AdmissionRequest, item: T, now: number): AdmissionDecision;
+	/** Records that a running request has ended; its duration is undefined when it doesn't reflect the target's speed. */
+	finish(duration: number | undefined): void;
+	/** Removes the next request to run from the queue; undefined when none waits or no slot is free. */
+	next(): T | undefined;
+	/** Removes the requests whose maximum wait has passed. */
+	expire(now: number): T[];
+	/** Removes a request from the queue; false when it isn't queued. */
+	withdraw(item: T): boolean;
+	/** Removes all queued requests. */
+	clear(): T[];
+	/** Sets how many requests may run at once. */
+	setLimit(concurrencyLimit: number): void;
+	/** The work offered since the last call, in milliseconds that the target needs for it at full use. */
+	takeArrivals(): number;
+	/** The estimated wait of a new request, in milliseconds. */
+	expectedWait(): number;
+	running(): number;
+	waiting(): number;
+	limit(): number;
+};
+
+/** The weight of a new duration in the moving average, which covers about the last 20. */
+const durationWeight = 0.05;
+/** The duration that is assumed before any request has ended, in milliseconds. */
+const initialDuration = 30;
+
+/** Creates the admission control of a target that runs up to `concurrencyLimit` requests at once. */
+export function createTargetAdmission<T>(
+	concurrencyLimit: number,
+): TargetAdmission<T> {
+	let limit = concurrencyLimit;
+	let running = 0;
+	let waitingCount = 0;
+	let meanDuration = initialDuration;
+	let offered = 0;
+	const ranks: Array<Array<Waiting<T>>> = [];
+	const entries = new Map<T, Waiting<T>>();
+
+	const remove = (entry: Waiting<T>) => {
+		entry.isGone = true;
+		entries.delete(entry.item);
+		waitingCount--;
+	};
+
+	const waitBehind = (ahead: number) => ((ahead + 1) * meanDuration) / limit;
+
+	const countAhead = (rank: number): number => {
+		let ahead = 0;
+		for (let index = 0; index <= rank; index++) {
+			ahead += ranks[index]?.length ?? 0;
+		}
+
+		return ahead;
+	};
+
+	return {
+		offer(request, item, now) {
+			offered++;
+			if (running < limit && waitingCount === 0) {
+				running++;
+				return 'run';
+			}
+
+			const rank = rankOf(request);
+			if (waitBehind(countAhead(rank)) > request.maxWait) {
+				return 'refuse';
+			}
+
+			const entry = {
+				request,
+				item,
+				expiresAt: now + request.maxWait,
+				isGone: false,
+			};
+			(ranks[rank] ??= []).push(entry);
+			entries.set(item, entry);
+			waitingCount++;
+			return 'wait';
+		},
+		finish(duration) {
+			running--;
+			if (duration !== undefined) {
+				meanDuration += durationWeight * (duration - meanDuration);
+			}
+		},
+		next() {
+			if (running >= limit || waitingCount === 0) {
+				return undefined;
+			}
+
+			for (const queue of ranks) {
+				const entry = queue && removeFirst(queue);
+				if (entry) {
+					remove(entry);
+					running++;
+					return entry.item;
+				}
+			}
+
+			return undefined;
+		},
+		expire(now) {
+			const expired: T[] = [];
+			if (waitingCount === 0) {
+				return expired;
+			}
+
+			for (const [index, queue] of ranks.entries()) {
+				for (const entry of queue ?? []) {
+					if (!entry.isGone && entry.expiresAt < now) {
+						remove(entry);
+						expired.push(entry.item);
+					}
+				}
+
+				ranks[index] = (queue ?? []).filter(({isGone}) => !isGone);
+			}
+
+			return expired;
+		},
+		withdraw(item) {
+			const entry = entries.get(item);
+			if (entry) {
+				remove(entry);
+			}
+
+			return entry !== undefined;
+		},
+		clear() {
+			const items = [...entries.keys()];
+			entries.clear();
+			ranks.length = 0;
+			waitingCount = 0;
+			return items;
+		},
+		setLimit(concurrencyLimit) {
+			limit = concurrencyLimit;
+		},
+		takeArrivals() {
+			const work = (offered * meanDuration) / limit;
+			offered = 0;
+			return work;
+		},
+		expectedWait: () => (waitingCount === 0 ? 0 : waitBehind(waitingCount)),
+		running: () => running,
+		waiting: () => waitingCount,
+		limit: () => limit,
+	};
+}
+
+/** Removes entries until it finds one that is still queued; returns that one. */
+function removeFirst<T>(queue: Array<Waiting<T>>): Waiting<T> | undefined {
+	for (let entry = queue.shift(); entry; entry = queue.shift()) {
+		if (!entry.isGone) {
+			return entry;
+		}
+	}
+
+	return undefined;
+}
+
+function rankOf({isNearCompletion, priority}: AdmissionRequest): number {
+	return isNearCompletion ? 0 : priority + 1;
+}
--- a/packages/mesh/src/entry.ts
+++ b/packages/mesh/src/entry.ts
@@ -3,7 +3,7 @@
  * request, enforces quotas and forwards what is admitted.
  */
 import type {CallerRequest, FinalAnswer, OwnAnswer} from './caller-request.js';
-import {shortReturn} from './decisions/return-time.js';
+import {shortRetryAfter} from './decisions/return-time.js';
 import {
 	forwardRequest,
 	type ForwardingCallbacks,
@@ -100,7 +100,7 @@
 ): Admission | Rejection {
 	const routes = currentRoutes();
 	if (!routes) {
-		return refuse('', 503, 'noConfiguration', shortReturn);
+		return refuse('', 503, 'noConfiguration', shortRetryAfter);
 	}
 
 	const route = routes.findRoute(request.host, pathOf(request.path));
--- a/packages/mesh/src/local-state.ts
+++ b/packages/mesh/src/local-state.ts
@@ -18,7 +18,7 @@
 	follower: () => Pick<ConfigurationFollower, 'current' | 'isFollowing'>;
 	targetTracker: () => Pick<TargetTracker, 'state'>;
 	dispatcher: () => Pick<TargetDispatcher, 'load'>;
-	innerRoutes: Pick<InnerRoutes, 'asked'>;
+	innerRoutes: Pick<InnerRoutes, 'requestedRoutes'>;
 	profile: Pick<CallProfile, 'profiles'>;
 };
 
@@ -48,7 +48,7 @@
 			target: targetTracker().state(),
 			load: dispatcher().load(),
 			service: self.service,
-			routes: innerRoutes.asked(),
+			routes: innerRoutes.requestedRoutes(),
 		}),
 		profiles: () => ({
 			kind: 'profiles',
--- a/packages/mesh/src/mesh-node.ts
+++ b/packages/mesh/src/mesh-node.ts
@@ -240,10 +240,10 @@
 		onMessage: receive,
 		onMalformed,
 		onProfiles(peer, {service, profiles}) {
-			graph.take(peer, service, profiles);
+			graph.setProfiles(peer, service, profiles);
 		},
 		onState({service, routes: requested}) {
-			innerRoutes.take(service, requested);
+			innerRoutes.addPeerRoutes(service, requested);
 		},
 		pinned: quotas.pinned,
 		onPeer(node, change) {
@@ -303,7 +303,7 @@
 		profile,
 		pressure,
 		onProfileChange() {
-			graph.take(self.node, settings.service, profile.profiles());
+			graph.setProfiles(self.node, settings.service, profile.profiles());
 		},
 		announce() {
 			peerListener.broadcast(localState.profiles());
--- a/packages/mesh/src/peer.ts
+++ b/packages/mesh/src/peer.ts
@@ -118,7 +118,7 @@
 ): TargetCandidate {
 	return {
 		node: peer.member.node,
-		isOwn: false,
+		isLocal: false,
 		isNear: peer.member.dataCentre === dataCentre,
 		occupancy: estimateOccupancy(peer, slots),
 		// A stopping node still accepts requests for a moment, for callers that have no other target.
--- a/packages/mesh/src/quota-exchange.ts
+++ b/packages/mesh/src/quota-exchange.ts
@@ -10,7 +10,7 @@
  */
 import type {Clock, Random} from '@egretspoke/shared';
 import {createNameRank} from './decisions/name-rank.js';
-import {createQuotaAllotment} from './decisions/quota-allotment.js';
+import {createQuotaAllocation} from './decisions/quota-allocation.js';
 import {
 	createQuotaShare,
 	type Quota,
@@ -89,7 +89,7 @@
 ): QuotaExchange {
 	const {clock, self, directory} = options;
 	const startedAt = clock.now();
-	const allocation = createQuotaAllotment(startedAt);
+	const allocation = createQuotaAllocation(startedAt);
 	const share = createQuotaShare({
 		nodes: () =>
 			options.isMembershipKnown()
@@ -155,7 +155,7 @@
 	const mayGrant = (now: number): boolean =>
 		options.isMembershipKnown() &&
 		allocation.isSettled(now) &&
-		allocation.reporting(now) * 2 > localNodes.length;
+		allocation.reportingNodes(now) * 2 > localNodes.length;
 
 	const reportTo = (allocator: string, uses: QuotaUse[], isFirst: boolean) => {
 		const now = clock.now();
@@ -171,7 +171,10 @@
 
 		allocation.report({kind: 'node', name: self.node}, uses, now);
 		if (isFirst && mayGrant(now)) {
-			share.grant(allocation.grants(uses.map(({workspace}) => workspace)), now);
+			share.applyGrants(
+				allocation.grants(uses.map(({workspace}) => workspace)),
+				now,
+			);
 		}
 	};
 
@@ -214,9 +217,9 @@
 	return {
 		allows: (workspace) => share.allows(toQuota(workspace), clock.now()),
 		recordAdmitted(workspace) {
-			share.noteAdmitted(toQuota(workspace));
+			share.recordAdmitted(toQuota(workspace));
 		},
-		retryAfterTime: (workspace) => share.returnTime(toQuota(workspace)),
+		retryAfterTime: (workspace) => share.retryAfterTime(toQuota(workspace)),
 		pinned() {
 			if (!options.workspaces().some(({rate}) => rate > 0)) {
 				return [];
@@ -241,9 +244,9 @@
 				dataCentre === undefined
 					? {kind: 'node', name: node}
 					: {kind: 'dataCentre', name: dataCentre},
-				uses.map(([workspace, asked, admitted, reserved]) => ({
+				uses.map(([workspace, requested, admitted, reserved]) => ({
 					workspace,
-					asked,
+					requested,
 					admitted,
 					reserved,
 				})),
@@ -253,19 +256,19 @@
 				const grants = allocation.grants(uses.map(([workspace]) => workspace));
 				reply({
 					kind: 'quotaGrant',
-					grants: grants.map(({workspace, asked, share: grantedShare}) => [
+					grants: grants.map(({workspace, requested, share: grantedShare}) => [
 						workspace,
-						asked,
+						requested,
 						grantedShare,
 					]),
 				});
 			}
 		},
 		receiveGrant({grants}) {
-			share.grant(
-				grants.map(([workspace, asked, grantedShare]) => ({
+			share.applyGrants(
+				grants.map(([workspace, requested, grantedShare]) => ({
 					workspace,
-					asked,
+					requested,
 					share: grantedShare,
 				})),
 				clock.now(),
@@ -278,9 +281,9 @@
 }
 
 function toTuples(uses: QuotaUse[]): QuotaUseMessage['uses'] {
-	return uses.map(({workspace, asked, admitted, reserved}) => [
+	return uses.map(({workspace, requested, admitted, reserved}) => [
 		workspace,
-		roundToTenth(asked),
+		roundToTenth(requested),
 		roundToTenth(admitted),
 		roundToTenth(reserved),
 	]);
--- a/packages/mesh/src/repeated-offers.ts
+++ b/packages/mesh/src/repeated-offers.ts
@@ -2,12 +2,12 @@
 import type {MeshPolicy} from './decisions/mesh-policy.js';
 import {
 	createOfferBudget,
-	partWithCalls,
-	partWithoutCalls,
+	nonLeafOfferShare,
+	leafOfferShare,
 	type OfferBudgetOptions,
 } from './decisions/offer-budget.js';
-import {createOwnCalls} from './decisions/own-calls.js';
-import {createRecentShare} from './decisions/recent-share.js';
+import {createTargetCalls} from './decisions/own-calls.js';
+import {createRecentRatio} from './decisions/recent-share.js';
 import type {ForwardedRequest, Outcome} from './exchange.js';
 
 /** Dependencies of the offers. */
@@ -41,29 +41,31 @@
 	budget: budgetOptions,
 }: RepeatedOffersOptions): RepeatedOffers {
 	const budget = createOfferBudget(budgetOptions);
-	const ownCalls = createOwnCalls();
-	const declined = createRecentShare();
-	const unserved = createRecentShare();
+	const targetCalls = createTargetCalls();
+	const declined = createRecentRatio();
+	const unserved = createRecentRatio();
 	return {
 		recordStart({repeatShare}, now) {
 			budget.countArrival(repeatShare, now);
-			ownCalls.noteRun(repeatShare);
+			targetCalls.recordRun(repeatShare);
 		},
 		recordOffer({kind}, now) {
-			declined.note(kind === 'declined', now);
+			declined.record(kind === 'declined', now);
 		},
 		recordEnd({kind}, now) {
-			unserved.note(kind === 'declined', now);
+			unserved.record(kind === 'declined', now);
 		},
 		recordCall() {
-			ownCalls.noteCall();
-			return ownCalls.repeatShare();
+			targetCalls.recordCall();
+			return targetCalls.repeatShare();
 		},
 		take(now) {
-			const part = ownCalls.any() ? partWithCalls : partWithoutCalls;
+			const part = targetCalls.makesCalls()
+				? nonLeafOfferShare
+				: leafOfferShare;
 			const isTaken = policy.has('offerAgain') && budget.take(part, now);
 			if (isTaken) {
-				ownCalls.noteRepeat();
+				targetCalls.recordRepeat();
 			}
 
 			return isTaken;
--- a/packages/mesh/src/request-forwarding.ts
+++ b/packages/mesh/src/request-forwarding.ts
@@ -15,10 +15,10 @@
 import type {CallGraph} from './decisions/call-graph.js';
 import type {InnerRoutes} from './decisions/inner-routes.js';
 import type {MeshPolicy} from './decisions/mesh-policy.js';
-import {returnTime} from './decisions/return-time.js';
+import {retryAfterTime} from './decisions/return-time.js';
 import {
-	partOfLeaf,
-	partOfTree,
+	leafRetryShare,
+	nonLeafRetryShare,
 	type RetryBudget,
 } from './decisions/retry-budget.js';
 import type {Directory, TargetCandidate} from './directory.js';
@@ -106,7 +106,7 @@
 		isInner ||
 		(options.policy.has('nearEndFirst') &&
 			!options.graph.mayCall(route.name, service));
-	if (innerRoutes.note(route.name)) {
+	if (innerRoutes.record(route.name)) {
 		options.onNewRoute();
 	}
 
@@ -169,7 +169,7 @@
 						kind: 'own',
 						status: 503,
 						reason,
-						retryAfter: returnTime(
+						retryAfter: retryAfterTime(
 							{
 								timeLeft: callerTimeLeft(),
 								objective: retryAfterObjective,
@@ -289,7 +289,7 @@
 
 	const takeFromBudget = (now: number): boolean => {
 		const mayCall = options.graph.mayCall(route.name, service);
-		const part = mayCall ? partOfTree : partOfLeaf;
+		const part = mayCall ? nonLeafRetryShare : leafRetryShare;
 		return budget.take(service, now, directory.size(), part);
 	};
 
--- a/packages/mesh/src/target-dispatcher.ts
+++ b/packages/mesh/src/target-dispatcher.ts
@@ -21,7 +21,10 @@
 import type {DeadlineWheel} from './deadline-wheel.js';
 import type {CallProfile} from './decisions/call-profile.js';
 import {createFailureShare} from './decisions/failure-share.js';
-import {createGate, type Gate} from './decisions/gate.js';
+import {
+	createTargetAdmission,
+	type TargetAdmission,
+} from './decisions/target-admission.js';
 import type {MeshPolicy} from './decisions/mesh-policy.js';
 import type {OfferBudgetOptions} from './decisions/offer-budget.js';
 import {createRunTime} from './decisions/run-time.js';
@@ -117,7 +120,8 @@
 		budget: options.retryBudget,
 	});
 	const {profile} = options;
-	let admission: Gate<PendingRequest> = createGate<PendingRequest>(1);
+	let admission: TargetAdmission<PendingRequest> =
+		createTargetAdmission<PendingRequest>(1);
 	let target: TargetRecord | undefined;
 	let isStopping = false;
 	let ticker: Timer | undefined;
@@ -203,7 +207,7 @@
 		const ordinal = runWatch.started();
 		metrics.targetStarted(now - pending.offeredAt);
 		offers.recordStart(pending.request, now);
-		profile.noteRun(pending.request.route);
+		profile.recordRun(pending.request.route);
 		pending.run = startTargetRun({
 			clock,
 			wheel,
@@ -228,7 +232,7 @@
 				runAdmission.finish(duration);
 				recordRunTime(clock.now() - now, duration !== undefined);
 				if (duration !== undefined) {
-					profile.noteRunTime(pending.request.route, duration);
+					profile.recordRunTime(pending.request.route, duration);
 				}
 
 				startNext();
@@ -284,7 +288,7 @@
 	const recordRunTime = (elapsed: number, isComplete: boolean) => {
 		const now = clock.now();
 		if (isComplete || elapsed > runTime.value(now)) {
-			runTime.note(elapsed, now);
+			runTime.record(elapsed, now);
 		}
 	};
 
@@ -304,7 +308,7 @@
 
 	const recordOffer = ({request}: PendingRequest, outcome: Outcome) => {
 		const now = clock.now();
-		failures.note(
+		failures.record(
 			outcome.kind !== 'answered' || isTargetFailure(outcome.status),
 			now,
 		);
@@ -415,7 +419,7 @@
 			if (isNewIncarnation) {
 				const waiting = removeWaiting();
 				watch = createTargetWatch();
-				admission = createGate<PendingRequest>(
+				admission = createTargetAdmission<PendingRequest>(
 					options.policy.limitOf(record.slots),
 				);
 				access.close();
@@ -465,7 +469,7 @@
 			};
 		},
 		recordCall(route) {
-			profile.noteCall(route);
+			profile.recordCall(route);
 			return offers.recordCall();
 		},
 		load,
