--- a/packages/mesh/__tests__/own-calls.spec.ts
+++ b/packages/mesh/__tests__/target-calls.spec.ts
@@ -1,5 +1,5 @@
 import {expect} from 'chai';
-import {createTargetCalls} from '../src/decisions/own-calls.js';
+import {createTargetCalls} from '../src/decisions/target-calls.js';
 
 describe('target calls', () => {
 	it('are assumed until enough requests without calls are recorded', () => {
--- a/packages/mesh/src/entry.ts
+++ b/packages/mesh/src/entry.ts
@@ -3,7 +3,7 @@
  * request, enforces quotas and forwards what is admitted.
  */
 import type {CallerRequest, FinalAnswer, OwnAnswer} from './caller-request.js';
-import {shortRetryAfter} from './decisions/return-time.js';
+import {shortRetryAfter} from './decisions/retry-after-time.js';
 import {
 	forwardRequest,
 	type ForwardingCallbacks,
--- a/packages/mesh/src/mesh-node.ts
+++ b/packages/mesh/src/mesh-node.ts
@@ -22,7 +22,7 @@
 import type {HeaderNames} from './header-names.js';
 import {createUpdateHandler} from './peer-updates.js';
 import {waitUntilIdle} from './graceful-shutdown.js';
-import {createProfileUpdates} from './learning.js';
+import {createProfileUpdates} from './profile-updates.js';
 import {createLoadReport} from './load-report.js';
 import {createMemberRegister} from './member-register.js';
 import type {MeshReporter} from './mesh-reporter.js';
--- a/packages/mesh/src/repeated-offers.ts
+++ b/packages/mesh/src/repeated-offers.ts
@@ -6,8 +6,8 @@
 	leafOfferShare,
 	type OfferBudgetOptions,
 } from './decisions/offer-budget.js';
-import {createTargetCalls} from './decisions/own-calls.js';
-import {createRecentRatio} from './decisions/recent-share.js';
+import {createTargetCalls} from './decisions/target-calls.js';
+import {createRecentRatio} from './decisions/recent-ratio.js';
 import type {ForwardedRequest, Outcome} from './exchange.js';
 
 /** Dependencies of the offers. */
--- a/packages/mesh/src/request-forwarding.ts
+++ b/packages/mesh/src/request-forwarding.ts
@@ -15,7 +15,7 @@
 import type {CallGraph} from './decisions/call-graph.js';
 import type {InnerRoutes} from './decisions/inner-routes.js';
 import type {MeshPolicy} from './decisions/mesh-policy.js';
-import {retryAfterTime} from './decisions/return-time.js';
+import {retryAfterTime} from './decisions/retry-after-time.js';
 import {
 	leafRetryShare,
 	nonLeafRetryShare,
