--- a/packages/experiment/__tests__/capacity.spec.ts
+++ b/packages/experiment/__tests__/capacity.spec.ts
@@ -7,21 +7,21 @@
 	longOperation,
 	operations,
 	scenarios,
-	warmthFactor,
+	warmUpFactor,
 	type Operation,
 	type Scenario,
-	type Want,
+	type UserArrival,
 } from '../src/index.js';
 
 /** Wants at an even rate a second during a trigger. */
-function wantsAt(
+function arrivalsAt(
 	scenario: Scenario,
 	rate: number,
 	operation: Operation,
-): Want[] {
-	const count = (rate * scenario.trigger) / 1000;
+): UserArrival[] {
+	const count = (rate * scenario.triggerDuration) / 1000;
 	return Array.from({length: count}, (_, index) => ({
-		at: scenario.calm + (index * 1000) / rate,
+		at: scenario.baselineDuration + (index * 1000) / rate,
 		operation,
 	}));
 }
@@ -37,36 +37,42 @@
 
 	it('is the capacity when the demand is above it', () => {
 		const scenario = scenarios.saturation;
-		const wants = wantsAt(scenario, 1800, short);
-		expect(computeLimit(akwaaba, scenario, wants)).to.be.closeTo(900, 1);
-		expect(computeLimit(fieldline, scenario, wants)).to.be.closeTo(600, 1);
+		const userArrivals = arrivalsAt(scenario, 1800, short);
+		expect(computeLimit(akwaaba, scenario, userArrivals)).to.be.closeTo(900, 1);
+		expect(computeLimit(fieldline, scenario, userArrivals)).to.be.closeTo(
+			600,
+			1,
+		);
 	});
 
 	it('is the demand when the capacity is above it', () => {
 		const scenario = scenarios.light;
-		const wants = wantsAt(scenario, 250, short);
-		expect(computeLimit(akwaaba, scenario, wants)).to.be.closeTo(250, 1);
+		const userArrivals = arrivalsAt(scenario, 250, short);
+		expect(computeLimit(akwaaba, scenario, userArrivals)).to.be.closeTo(250, 1);
 	});
 
 	it('falls to a third when every deepest target takes three times as long', () => {
 		const scenario = scenarios['deep-slowdown'];
-		const wants = wantsAt(scenario, 800, short);
-		expect(computeLimit(akwaaba, scenario, wants)).to.be.closeTo(300, 1);
+		const userArrivals = arrivalsAt(scenario, 800, short);
+		expect(computeLimit(akwaaba, scenario, userArrivals)).to.be.closeTo(300, 1);
 	});
 
 	it('serves the short ones first: 450 of 900 leave 45 slots, and 45 / 0.8 s is 56.25 long ones', () => {
 		const scenario = scenarios['long-among-short'];
-		const wants = [
-			...wantsAt(scenario, 450, short),
-			...wantsAt(scenario, 100, longOperation),
+		const userArrivals = [
+			...arrivalsAt(scenario, 450, short),
+			...arrivalsAt(scenario, 100, longOperation),
 		];
-		expect(computeLimit(akwaaba, scenario, wants)).to.be.closeTo(506.25, 1);
+		expect(computeLimit(akwaaba, scenario, userArrivals)).to.be.closeTo(
+			506.25,
+			1,
+		);
 	});
 
 	it('counts what one slow target of three still gives: 2 * 300 + 30', () => {
 		const scenario = scenarios['slow-target'];
-		const wants = wantsAt(scenario, 1800, short);
-		expect(computeLimit(akwaaba, scenario, wants)).to.be.closeTo(630, 1);
+		const userArrivals = arrivalsAt(scenario, 1800, short);
+		expect(computeLimit(akwaaba, scenario, userArrivals)).to.be.closeTo(630, 1);
 	});
 
 	it('holds a slot of an upper service while the calls below run', () => {
@@ -76,7 +82,7 @@
 	});
 
 	it('warms a cold target with what it runs', () => {
-		expect([0, 150, 300, 900].map((run) => warmthFactor(run))).to.deep.equal([
+		expect([0, 150, 300, 900].map((run) => warmUpFactor(run))).to.deep.equal([
 			8, 4.5, 1, 1,
 		]);
 	});
--- a/packages/experiment/__tests__/chain-model.spec.ts
+++ b/packages/experiment/__tests__/chain-model.spec.ts
@@ -1,5 +1,5 @@
 import {expect} from 'chai';
-import {playChain, type ChainSecond} from '../src/chain/chain-model.js';
+import {simulateChain, type ChainSecond} from '../src/chain/chain-model.js';
 
 const kinds = [
 	{
@@ -34,8 +34,8 @@
 /** Usual load, then 1.8 times what fits from the first second to the eleventh, then usual load. */
 const demandAt = (now: number) => (now > 1000 && now < 11_000 ? 1.8 : 0.7);
 
-function play(reportDelay: number, targets: number): ChainSecond[] {
-	return playChain({
+function simulate(reportDelay: number, targets: number): ChainSecond[] {
+	return simulateChain({
 		kinds,
 		targets,
 		slots: 17,
@@ -56,11 +56,11 @@
 	for (const reportDelay of [20, 200, 800]) {
 		for (const targets of [3, 14, 50]) {
 			describe(`at ${targets} targets, told of after ${reportDelay} ms`, () => {
-				const seconds = play(reportDelay, targets);
+				const seconds = simulate(reportDelay, targets);
 				const settled = seconds.slice(4, 10);
 				const shareOf = (kind: string) =>
 					sumOf(settled.map(({whole}) => whole.get(kind) ?? 0)) /
-					sumOf(settled.map(({asked}) => asked.get(kind) ?? 0));
+					sumOf(settled.map(({requested}) => requested.get(kind) ?? 0));
 
 				it('settles within three seconds, and runs whole requests from then on', () => {
 					const goodputs = settled.map(({goodput}) => goodput);
@@ -70,10 +70,10 @@
 
 				it('wastes next to nothing', () => {
 					const failed = sumOf(settled.map((second) => second.failed));
-					const asked = sumOf(
-						settled.flatMap((second) => [...second.asked.values()]),
+					const requested = sumOf(
+						settled.flatMap((second) => [...second.requested.values()]),
 					);
-					expect(failed / asked).to.be.below(0.05);
+					expect(failed / requested).to.be.below(0.05);
 				});
 
 				it('serves what is important and what is cheap', () => {
@@ -84,7 +84,7 @@
 				it('lets everybody in again within three seconds of its end', () => {
 					const last = seconds[14]!;
 					expect(last.refused).to.be.below(
-						0.1 * sumOf([...last.asked.values()]),
+						0.1 * sumOf([...last.requested.values()]),
 					);
 				});
 			});
--- a/packages/experiment/__tests__/experiment.spec.ts
+++ b/packages/experiment/__tests__/experiment.spec.ts
@@ -3,17 +3,17 @@
 	computeFigures,
 	computeLimit,
 	deployments,
-	findContender,
+	findVariant,
 	findRecovery,
 	scenarios,
-	spread,
+	summarizeSeeds,
 	type Deployment,
 	type Figures,
 	type Scenario,
 	type ServiceSize,
 } from '../src/index.js';
 import {createFakeTarget} from '../src/fake-target.js';
-import {runContender} from '../src/run.js';
+import {runVariant} from '../src/run.js';
 
 const {fieldline} = deployments;
 
@@ -41,18 +41,18 @@
 	scenario: Scenario,
 	{seed = 1, deployment = fieldline} = {},
 ): Figures {
-	const contender = findContender(policy)!;
-	const tally = runContender(contender, deployment, scenario, seed);
-	const limit = computeLimit(deployment, scenario, tally.wants);
+	const variant = findVariant(policy)!;
+	const tally = runVariant(variant, deployment, scenario, seed);
+	const limit = computeLimit(deployment, scenario, tally.userArrivals);
 	return computeFigures(tally, scenario, limit);
 }
 
 describe('the experiment', () => {
 	const light = {
 		...scenarios.light,
-		calm: 1000,
-		trigger: 2000,
-		aftermath: 1000,
+		baselineDuration: 1000,
+		triggerDuration: 2000,
+		recoveryDuration: 1000,
 	};
 
 	for (const policy of ['naive', 'egretspoke']) {
@@ -82,9 +82,9 @@
 			'naive',
 			{
 				...scenarios['deep-slowdown'],
-				calm: 2000,
-				trigger: 5000,
-				aftermath: 15_000,
+				baselineDuration: 2000,
+				triggerDuration: 5000,
+				recoveryDuration: 15_000,
 			},
 			{deployment: small},
 		);
@@ -99,9 +99,9 @@
 			'egretspoke',
 			{
 				...scenarios['deep-slowdown'],
-				calm: 2000,
-				trigger: 5000,
-				aftermath: 6000,
+				baselineDuration: 2000,
+				triggerDuration: 5000,
+				recoveryDuration: 6000,
 			},
 			{deployment: small},
 		);
@@ -133,12 +133,12 @@
 
 describe('the spread over seeds', () => {
 	it('has the median and the worst with its seed', () => {
-		expect(spread([3, 1, 2, 5], [1, 2, 3, 4], 'higher')).to.deep.equal({
+		expect(summarizeSeeds([3, 1, 2, 5], [1, 2, 3, 4], 'higher')).to.deep.equal({
 			median: 2.5,
 			worst: 5,
 			worstSeed: 4,
 		});
-		expect(spread([3, 1, 2], [7, 8, 9], 'lower')).to.deep.equal({
+		expect(summarizeSeeds([3, 1, 2], [7, 8, 9], 'lower')).to.deep.equal({
 			median: 2,
 			worst: 1,
 			worstSeed: 8,
@@ -146,7 +146,11 @@
 	});
 
 	it('takes what never came about for the worst', () => {
-		const {worst, worstSeed} = spread([1, undefined, 2], [1, 2, 3], 'higher');
+		const {worst, worstSeed} = summarizeSeeds(
+			[1, undefined, 2],
+			[1, 2, 3],
+			'higher',
+		);
 		expect([worst, worstSeed]).to.deep.equal([undefined, 2]);
 	});
 });
@@ -155,16 +159,18 @@
 	it('runs as many as it has slots, first in first out, and refuses beyond its connections', () => {
 		const target = createFakeTarget(1, 3);
 		const started: string[] = [];
-		const jobs = ['a', 'b', 'c', 'd'].map((name) => ({
+		const targetRequests = ['a', 'b', 'c', 'd'].map((name) => ({
 			start() {
 				started.push(name);
 			},
 		}));
-		const taken = jobs.map((job) => target.offer(job));
+		const taken = targetRequests.map((targetRequest) =>
+			target.offer(targetRequest),
+		);
 		expect(taken).to.deep.equal([true, true, true, false]);
 		expect(started).to.deep.equal(['a']);
-		target.release(jobs[1]!);
-		target.release(jobs[0]!);
+		target.release(targetRequests[1]!);
+		target.release(targetRequests[0]!);
 		expect(started).to.deep.equal(['a', 'c']);
 		expect(target.completed()).to.equal(1);
 	});
--- a/packages/experiment/__tests__/output.spec.ts
+++ b/packages/experiment/__tests__/output.spec.ts
@@ -1,8 +1,8 @@
 import {expect} from 'chai';
 import {
-	findContender,
-	contenderNames,
-	print,
+	findVariant,
+	variantNames,
+	formatResult,
 	runSweep,
 	scenarios,
 } from '../src/index.js';
@@ -11,18 +11,18 @@
 describe('what is printed', () => {
 	it('is one line, with null for what never came about', () => {
 		const figures = {goodput: 1, recoverySeconds: undefined};
-		const line = print({scenario: 'light', policies: {naive: figures}});
+		const line = formatResult({scenario: 'light', policies: {naive: figures}});
 		expect(line).to.equal(
 			'{"scenario":"light","naive":{"goodput":1,"recoverySeconds":null}}',
 		);
 	});
 
 	it('knows every policy by its name', () => {
-		for (const name of contenderNames) {
-			expect(findContender(name)?.name).to.equal(name);
+		for (const name of variantNames) {
+			expect(findVariant(name)?.name).to.equal(name);
 		}
 
-		expect(findContender('clever')).to.equal(undefined);
+		expect(findVariant('clever')).to.equal(undefined);
 	});
 });
 
--- a/packages/experiment/__tests__/tally.spec.ts
+++ b/packages/experiment/__tests__/tally.spec.ts
@@ -31,7 +31,7 @@
 		},
 		node: 'one',
 		hasRun: false,
-		saidNotRun: false,
+		reportedNotRun: false,
 	};
 }
 
@@ -43,9 +43,9 @@
 			// again, and has paid twice.
 			const tally = createTally(() => 0);
 			const attempt = createAttempt(createRequest());
-			tally.saidNotRun(attempt);
+			tally.recordNotRun(attempt);
 			expect(tally.notRunThatRan()).to.equal(0);
-			tally.tookEffect(attempt);
+			tally.recordEffect(attempt);
 			expect(tally.notRunThatRan()).to.equal(1);
 		});
 
@@ -55,16 +55,16 @@
 			const tally = createTally(() => 0);
 			const request = createRequest();
 			const above = createAttempt(request);
-			tally.tookEffect(createAttempt(request, above));
-			tally.saidNotRun(above);
+			tally.recordEffect(createAttempt(request, above));
+			tally.recordNotRun(above);
 			expect(tally.notRunThatRan()).to.equal(1);
 		});
 
 		it('accept a refusal of what never ran', () => {
 			const tally = createTally(() => 0);
 			const request = createRequest();
-			tally.saidNotRun(createAttempt(request));
-			tally.tookEffect(createAttempt(request));
+			tally.recordNotRun(createAttempt(request));
+			tally.recordEffect(createAttempt(request));
 			expect(tally.notRunThatRan()).to.equal(0);
 		});
 	});
@@ -75,10 +75,10 @@
 			// attempt is still running. The supervisor sees one interviewer twice.
 			const tally = createTally(() => 0);
 			const request = createRequest();
-			tally.requestSent(request);
-			tally.tookEffect(createAttempt(request));
+			tally.recordRequest(request);
+			tally.recordEffect(createAttempt(request));
 			expect(tally.ranTwice()).to.equal(0);
-			tally.tookEffect(createAttempt(request));
+			tally.recordEffect(createAttempt(request));
 			expect(tally.ranTwice()).to.equal(1);
 		});
 
@@ -87,9 +87,9 @@
 			const request = createRequest(
 				operations.find(({idempotent}) => idempotent),
 			);
-			tally.requestSent(request);
-			tally.tookEffect(createAttempt(request));
-			tally.tookEffect(createAttempt(request));
+			tally.recordRequest(request);
+			tally.recordEffect(createAttempt(request));
+			tally.recordEffect(createAttempt(request));
 			expect(tally.ranTwice()).to.equal(0);
 		});
 	});
--- a/packages/experiment/src/call.ts
+++ b/packages/experiment/src/call.ts
@@ -41,7 +41,7 @@
 	node: string;
 	/** It, or a call made for it, has taken effect. */
 	hasRun: boolean;
-	saidNotRun: boolean;
+	reportedNotRun: boolean;
 };
 
 /** How a call or an attempt ended. */
@@ -53,6 +53,6 @@
 	| {kind: 'unknown'; code: ErrorCode; retryAfter: number};
 
 /** A refusal as the end of a call. */
-export function endRefused({code, retryAfter}: RefusalDecision): CallEnd {
+export function createRefusedEnd({code, retryAfter}: RefusalDecision): CallEnd {
 	return {kind: 'notRun', code, retryAfter};
 }
--- a/packages/experiment/src/capacity.ts
+++ b/packages/experiment/src/capacity.ts
@@ -16,19 +16,19 @@
  */
 import {
 	capacityOf,
-	deepWork,
+	meanDeepWork,
 	type CallPlan,
 	type Deployment,
 	type Operation,
 	type ServiceRole,
 } from './deployment.js';
-import {coldFactor, warmAfter, type Scenario} from './scenario.js';
+import {coldStartFactor, warmUpRequests, type Scenario} from './scenario.js';
 
 /** Milliseconds of one step of the flow. */
 const step = 10;
 
 /** A want, as far as the limit is concerned. */
-export type Want = {
+export type UserArrival = {
 	/** When it arose, in milliseconds of the run. */
 	at: number;
 	operation: Operation;
@@ -38,24 +38,24 @@
 export function computeLimit(
 	deployment: Deployment,
 	scenario: Scenario,
-	wants: Want[],
+	userArrivals: UserArrival[],
 ): number {
-	const deepSlots = createDeepSlots(deployment, scenario);
-	const backlogs = createBacklogs(scenario, wants);
+	const deepCapacity = createDeepCapacity(deployment, scenario);
+	const backlogs = createBacklogs(scenario, userArrivals);
 	let served = 0;
-	for (let elapsed = 0; elapsed < scenario.trigger; elapsed += step) {
-		let slotTime = deepSlots(step);
+	for (let elapsed = 0; elapsed < scenario.triggerDuration; elapsed += step) {
+		let slotTime = deepCapacity(step);
 		for (const backlog of backlogs) {
-			backlog.arriveUntil(scenario.calm + elapsed + step);
+			backlog.arriveUntil(scenario.baselineDuration + elapsed + step);
 			const count = Math.min(backlog.waiting(), slotTime / backlog.cost);
-			backlog.take(count);
+			backlog.serve(count);
 			slotTime -= count * backlog.cost;
 			served += count;
 		}
 	}
 
-	const rate = (served * 1000) / scenario.trigger;
-	return Math.min(rate, boundAbove(deployment, scenario));
+	const rate = (served * 1000) / scenario.triggerDuration;
+	return Math.min(rate, computeUpstreamBound(deployment, scenario));
 }
 
 /** Milliseconds for which an operation holds a slot of a service, no queue anywhere. */
@@ -64,19 +64,22 @@
 	role: ServiceRole,
 	slowdown: number,
 ): number {
-	const own = plan.role === role ? durationOf(plan, slowdown) : 0;
-	return plan.below.reduce(
-		(sum, below) => sum + holdingTime(below, role, slowdown),
+	const own = plan.role === role ? callDuration(plan, slowdown) : 0;
+	return plan.downstreamCalls.reduce(
+		(sum, call) => sum + holdingTime(call, role, slowdown),
 		own,
 	);
 }
 
-function durationOf(plan: CallPlan, slowdown: number): number {
+function callDuration(plan: CallPlan, slowdown: number): number {
 	const work =
 		(plan.before + plan.after) * (plan.role === 'deep' ? slowdown : 1);
 	return (
 		work +
-		Math.max(0, ...plan.below.map((below) => durationOf(below, slowdown)))
+		Math.max(
+			0,
+			...plan.downstreamCalls.map((call) => callDuration(call, slowdown)),
+		)
 	);
 }
 
@@ -87,7 +90,7 @@
 	return {
 		cost,
 		waiting: () => waiting,
-		take(count: number) {
+		serve(count: number) {
 			waiting -= count;
 		},
 		arriveUntil(instant: number) {
@@ -100,11 +103,11 @@
 }
 
 /** The wants that arise during the trigger by what they cost the deepest service, the cheapest first. */
-function createBacklogs(scenario: Scenario, wants: Want[]) {
-	const end = scenario.calm + scenario.trigger;
+function createBacklogs(scenario: Scenario, userArrivals: UserArrival[]) {
+	const end = scenario.baselineDuration + scenario.triggerDuration;
 	const byCost = new Map<number, number[]>();
-	for (const {at, operation} of wants) {
-		if (at >= scenario.calm && at < end) {
+	for (const {at, operation} of userArrivals) {
+		if (at >= scenario.baselineDuration && at < end) {
 			const cost = holdingTime(operation.plan, 'deep', 1);
 			const instants = byCost.get(cost) ?? [];
 			instants.push(at);
@@ -118,18 +121,18 @@
 }
 
 /** The work, in healthy milliseconds, that the deepest slots do in each next step. */
-function createDeepSlots({services}: Deployment, scenario: Scenario) {
+function createDeepCapacity({services}: Deployment, scenario: Scenario) {
 	const {targets, slots} = services.deep;
 	const run = Array.from({length: targets}, (_, target) =>
-		target < scenario.replaced ? 0 : warmAfter,
+		target < scenario.replacedTargets ? 0 : warmUpRequests,
 	);
 	return (duration: number) => {
 		let total = 0;
 		for (let target = 0; target < targets; target++) {
 			const factor =
-				scenario.slowdown(target) * warmthFactor(run[target] ?? warmAfter);
+				scenario.slowdown(target) * warmUpFactor(run[target] ?? warmUpRequests);
 			const work = (slots * duration) / factor;
-			run[target]! += work / deepWork;
+			run[target]! += work / meanDeepWork;
 			total += work;
 		}
 
@@ -138,19 +141,22 @@
 }
 
 /** How much longer a target takes that has run so many requests since it was started. */
-export function warmthFactor(run: number): number {
-	const left = Math.max(0, 1 - run / warmAfter);
-	return 1 + (coldFactor - 1) * left;
+export function warmUpFactor(run: number): number {
+	const left = Math.max(0, 1 - run / warmUpRequests);
+	return 1 + (coldStartFactor - 1) * left;
 }
 
 /** The rate that the services above the deepest allow, in requests a second. */
-function boundAbove({services}: Deployment, scenario: Scenario): number {
+function computeUpstreamBound(
+	{services}: Deployment,
+	scenario: Scenario,
+): number {
 	const {targets} = services.deep;
 	const slowdowns = Array.from({length: targets}, (_, target) =>
 		scenario.slowdown(target),
 	);
 	const slowdown = Math.min(...slowdowns);
-	const mix = mixOf(scenario);
+	const mix = operationMix(scenario);
 	const roles: ServiceRole[] = ['front', 'middle', 'side'];
 	const bounds = roles.map((role) => {
 		const holding = mix.reduce(
@@ -163,11 +169,11 @@
 	return Math.min(...bounds);
 }
 
-function mixOf(
+function operationMix(
 	scenario: Scenario,
 ): Array<{operation: Operation; share: number}> {
-	const total = scenario.surge.reduce((sum, {load}) => sum + load, 0);
-	return scenario.surge.flatMap(({load, operations}) =>
+	const total = scenario.triggerDemand.reduce((sum, {load}) => sum + load, 0);
+	return scenario.triggerDemand.flatMap(({load, operations}) =>
 		operations.map((operation) => ({
 			operation,
 			share: (operation.share * load) / total,
--- a/packages/experiment/src/chain/chain-model.ts
+++ b/packages/experiment/src/chain/chain-model.ts
@@ -25,7 +25,7 @@
 } from '@egretspoke/shared';
 
 /** A kind of request that callers make. */
-export type ChainKind = {
+export type RequestKind = {
 	kind: string;
 	/** 0 is the highest. */
 	priority: number;
@@ -42,7 +42,7 @@
 
 /** What is played. */
 export type ChainScenario = {
-	kinds: ChainKind[];
+	kinds: RequestKind[];
 	/** Targets of the deep service; they differ in speed by three. */
 	targets: number;
 	slots: number;
@@ -61,35 +61,35 @@
 	goodput: number;
 	refused: number;
 	failed: number;
-	asked: Map<string, number>;
+	requested: Map<string, number>;
 	whole: Map<string, number>;
 };
 
 type Target = {
-	gate: Gate<Call>;
+	admission: Gate<Call>;
 	level: ShedLevel;
 	speed: number;
 };
 
 type Call = {
-	kind: ChainKind;
-	onEnd: (isWhole: boolean) => void;
+	kind: RequestKind;
+	onEnd: (isSuccessful: boolean) => void;
 };
 
 /** The speeds of targets, by turns. */
 const speeds = [0.5, 1, 1, 1.5];
 /** Milliseconds that a call may wait, and a request may take. */
-const patience = 180;
-const timeLimit = 1500;
+const maxWait = 180;
+const requestTimeout = 1500;
 const millisecondsPerSecond = 1000;
 
 /** Plays a scenario; gives what became of each second's requests. */
-export function playChain(scenario: ChainScenario): ChainSecond[] {
+export function simulateChain(scenario: ChainScenario): ChainSecond[] {
 	const clock = createVirtualClock();
 	const random = createRandom(scenario.seed);
 	const targets = createTargets(scenario);
 	const capacity = targets.reduce(
-		(sum, one) => sum + one.gate.limit() * one.speed,
+		(sum, target) => sum + target.admission.limit() * target.speed,
 		0,
 	);
 	const seconds: ChainSecond[] = [];
@@ -102,32 +102,35 @@
 		})),
 	);
 	/** The mean level, as the entries know it. */
-	let told = 0;
+	let reportedLevel = 0;
 
-	const secondOf = (at: number): ChainSecond => {
+	const getSecond = (at: number): ChainSecond => {
 		const index = Math.floor(at / millisecondsPerSecond);
 		seconds[index] ??= {
 			goodput: 0,
 			refused: 0,
 			failed: 0,
-			asked: new Map(),
+			requested: new Map(),
 			whole: new Map(),
 		};
 		return seconds[index];
 	};
 
-	const runRequest = (kind: ChainKind) => {
+	const runRequest = (kind: RequestKind) => {
 		const at = clock.now();
-		const second = secondOf(at);
-		count(second.asked, kind.kind);
-		if (random.fraction() < shareRefused(told, slices.get(kind.kind) ?? [])) {
+		const second = getSecond(at);
+		count(second.requested, kind.kind);
+		if (
+			random.fraction() <
+			shareRefused(reportedLevel, slices.get(kind.kind) ?? [])
+		) {
 			second.refused++;
 			return;
 		}
 
 		let left = kind.calls;
 		const callNext = () => {
-			if (clock.now() - at > timeLimit) {
+			if (clock.now() - at > requestTimeout) {
 				second.failed++;
 			} else if (left === 0) {
 				count(second.whole, kind.kind);
@@ -139,8 +142,8 @@
 			}
 		};
 
-		const onEnd = (isWhole: boolean) => {
-			if (isWhole) {
+		const onEnd = (isSuccessful: boolean) => {
+			if (isSuccessful) {
 				clock.setTimer(kind.between, callNext);
 			} else {
 				second.failed++;
@@ -153,9 +156,12 @@
 	const workOfRequest = meanWork(scenario.kinds);
 	const arrive = () => {
 		runRequest(drawKind(scenario.kinds, random));
-		const perMillisecond =
+		const arrivalsPerMillisecond =
 			(capacity / workOfRequest) * scenario.demandAt(clock.now());
-		clock.setTimer(-Math.log(1 - random.fraction()) / perMillisecond, arrive);
+		clock.setTimer(
+			-Math.log(1 - random.fraction()) / arrivalsPerMillisecond,
+			arrive,
+		);
 	};
 
 	const update = () => {
@@ -166,7 +172,7 @@
 		const mean =
 			targets.reduce((sum, {level}) => sum + level.value(), 0) / targets.length;
 		clock.setTimer(scenario.reportDelay, () => {
-			told = mean;
+			reportedLevel = mean;
 		});
 		clock.setTimer(shedPeriod, update);
 	};
@@ -179,14 +185,14 @@
 
 function createTargets({targets, slots}: ChainScenario): Target[] {
 	return Array.from({length: targets}, (_, index) => ({
-		gate: createGate<Call>(slots),
+		admission: createGate<Call>(slots),
 		level: createShedLevel(),
 		speed: speeds[index % speeds.length]!,
 	}));
 }
 
 /** Milliseconds of slots that a request takes, over all kinds. */
-function meanWork(kinds: ChainKind[]): number {
+function meanWork(kinds: RequestKind[]): number {
 	let work = 0;
 	let total = 0;
 	for (const kind of kinds) {
@@ -205,12 +211,12 @@
 	call: Call,
 ): void {
 	const draw = () => targets[random.below(targets.length)]!;
-	const occupancy = ({gate}: Target) =>
-		(gate.running() + gate.waiting()) / gate.limit();
+	const occupancy = ({admission}: Target) =>
+		(admission.running() + admission.waiting()) / admission.limit();
 	const [left, right] = [draw(), draw()];
 	const target = occupancy(left) <= occupancy(right) ? left : right;
-	const request = {isNearItsEnd: true, priority: 0, patience};
-	const decision = target.gate.offer(request, call, clock.now());
+	const request = {isNearItsEnd: true, priority: 0, patience: maxWait};
+	const decision = target.admission.offer(request, call, clock.now());
 	if (decision === 'run') {
 		run(clock, random, target, call);
 	} else if (decision === 'refuse') {
@@ -224,32 +230,36 @@
 	target: Target,
 	{kind, onEnd}: Call,
 ): void {
-	const spread = 0.4 - 0.6 * Math.log(1 - random.fraction());
-	const duration = (kind.work * spread) / target.speed;
+	const workFactor = 0.4 - 0.6 * Math.log(1 - random.fraction());
+	const duration = (kind.work * workFactor) / target.speed;
 	clock.setTimer(duration, () => {
-		target.gate.finish(duration);
+		target.admission.finish(duration);
 		onEnd(true);
-		for (let next = target.gate.next(); next; next = target.gate.next()) {
+		for (
+			let next = target.admission.next();
+			next;
+			next = target.admission.next()
+		) {
 			run(clock, random, target, next);
 		}
 	});
 }
 
-function updateTarget({gate, level}: Target, now: number): void {
-	for (const call of gate.expire(now)) {
+function updateTarget({admission, level}: Target, now: number): void {
+	for (const call of admission.expire(now)) {
 		call.onEnd(false);
 	}
 
 	level.update({
-		wait: gate.expectedWait(),
-		occupancy: gate.running() / gate.limit(),
-		arriving: gate.takeArrivals() / shedPeriod,
+		wait: admission.expectedWait(),
+		occupancy: admission.running() / admission.limit(),
+		arriving: admission.takeArrivals() / shedPeriod,
 		declined: 0,
 		unserved: 0,
 	});
 }
 
-function drawKind(kinds: ChainKind[], random: Random): ChainKind {
+function drawKind(kinds: RequestKind[], random: Random): RequestKind {
 	const total = kinds.reduce((sum, {share}) => sum + share, 0);
 	let left = random.fraction() * total;
 	for (const kind of kinds) {
--- a/packages/experiment/src/deadline-wheel.ts
+++ b/packages/experiment/src/deadline-wheel.ts
@@ -19,7 +19,7 @@
 export function createDeadlineWheel(clock: Clock): DeadlineWheel {
 	const buckets = new Map<number, Set<Entry>>();
 
-	const open = (index: number) => {
+	const createBucket = (index: number) => {
 		const bucket = new Set<Entry>();
 		buckets.set(index, bucket);
 		clock.setTimer(index * bucketSize - clock.now(), () => {
@@ -35,7 +35,7 @@
 	return {
 		set(at, callback) {
 			const index = Math.ceil(at / bucketSize);
-			const bucket = buckets.get(index) ?? open(index);
+			const bucket = buckets.get(index) ?? createBucket(index);
 			const entry = {callback};
 			bucket.add(entry);
 			return {
--- a/packages/experiment/src/deployment.ts
+++ b/packages/experiment/src/deployment.ts
@@ -29,7 +29,7 @@
 	before: number;
 	/** Milliseconds of work after the deeper calls. */
 	after: number;
-	below: CallPlan[];
+	downstreamCalls: CallPlan[];
 };
 
 /** What a user can ask for. Each operation needs exactly one call to the deepest service. */
@@ -51,20 +51,20 @@
 	name: DeploymentName;
 	dataCentres: number;
 	/** One-way milliseconds between two data centres. */
-	betweenDataCentres: number;
+	interDataCentreDelay: number;
 	/** One-way milliseconds between a client and any node. */
-	toClients: number;
+	clientDelay: number;
 	services: Record<ServiceRole, ServiceSize>;
 };
 
 /** One-way milliseconds between two VMs of one data centre (assumed). */
-export const withinDataCentre = 0.1;
+export const intraDataCentreDelay = 0.1;
 
 /** Milliseconds that a new connection costs. */
 export const connectionCost = 1;
 
 /** Mean milliseconds of the deepest service's work (assumed). */
-export const deepWork = 100;
+export const meanDeepWork = 100;
 
 /** How much longer than an ordinary one a long operation keeps the deepest service. */
 export const longFactor = 8;
@@ -73,8 +73,8 @@
 	fieldline: {
 		name: 'fieldline',
 		dataCentres: 3,
-		betweenDataCentres: 1,
-		toClients: 8,
+		interDataCentreDelay: 1,
+		clientDelay: 8,
 		services: {
 			front: size('shift-booking', 4, 140, 950),
 			middle: size('roster-board', 5, 110, 800),
@@ -85,8 +85,8 @@
 	akwaaba: {
 		name: 'akwaaba',
 		dataCentres: 3,
-		betweenDataCentres: 0.5,
-		toClients: 1,
+		interDataCentreDelay: 0.5,
+		clientDelay: 1,
 		services: {
 			front: size('orders-and-payments', 4, 100, 680),
 			middle: size('mending-history', 5, 80, 570),
@@ -99,23 +99,23 @@
 const deep: CallPlan = {
 	role: 'deep',
 	operation: 'GET /lookup',
-	before: deepWork,
+	before: meanDeepWork,
 	after: 0,
-	below: [],
+	downstreamCalls: [],
 };
 const middle: CallPlan = {
 	role: 'middle',
 	operation: 'GET /board',
 	before: 8,
 	after: 4,
-	below: [deep],
+	downstreamCalls: [deep],
 };
 const side: CallPlan = {
 	role: 'side',
 	operation: 'GET /picture',
 	before: 20,
 	after: 0,
-	below: [],
+	downstreamCalls: [],
 };
 
 /** Milliseconds that a client waits for the answer to a try of an ordinary operation. */
@@ -133,7 +133,7 @@
 			operation: 'POST /bookings',
 			before: 4,
 			after: 2,
-			below: [middle],
+			downstreamCalls: [middle],
 		},
 	},
 	{
@@ -146,7 +146,7 @@
 			operation: 'PUT /uploads',
 			before: 20,
 			after: 4,
-			below: [middle],
+			downstreamCalls: [middle],
 		},
 	},
 	{
@@ -159,7 +159,7 @@
 			operation: 'GET /orders',
 			before: 4,
 			after: 2,
-			below: [middle, side],
+			downstreamCalls: [middle, side],
 		},
 	},
 	{
@@ -179,7 +179,7 @@
 			operation: 'GET /reports',
 			before: 4,
 			after: 2,
-			below: [middle],
+			downstreamCalls: [middle],
 		},
 	},
 ];
@@ -187,7 +187,7 @@
 const longDeep: CallPlan = {
 	...deep,
 	operation: 'GET /all',
-	before: deepWork * longFactor,
+	before: meanDeepWork * longFactor,
 };
 
 /** Long work: the same chain, with a deepest call that takes `longFactor` times as long. */
@@ -201,14 +201,16 @@
 		operation: 'GET /archive',
 		before: 4,
 		after: 2,
-		below: [{...middle, operation: 'GET /season', below: [longDeep]}],
+		downstreamCalls: [
+			{...middle, operation: 'GET /season', downstreamCalls: [longDeep]},
+		],
 	},
 };
 
 /** Requests a second that the deepest service can run when it is healthy. */
 export function capacityOf({services}: Deployment): number {
 	const {targets, slots} = services.deep;
-	return (targets * slots * 1000) / deepWork;
+	return (targets * slots * 1000) / meanDeepWork;
 }
 
 function size(
--- a/packages/experiment/src/entry.ts
+++ b/packages/experiment/src/entry.ts
@@ -5,38 +5,43 @@
  */
 import {ErrorCode, type LoadReport} from '@egretspoke/protocol';
 import type {AttemptResult, CallFacts} from '@egretspoke/decisions';
-import {endRefused, type Attempt, type Call, type CallEnd} from './call.js';
+import {
+	createRefusedEnd,
+	type Attempt,
+	type Call,
+	type CallEnd,
+} from './call.js';
 import type {ModelNode} from './model-node.js';
-import {delayBetween, type World} from './world.js';
+import {delayBetween, type Simulation} from './simulation.js';
 
 /** Takes a call in at a node; the returned function tells that its caller has gone. */
-export function enter(
-	world: World,
+export function routeCall(
+	simulation: Simulation,
 	node: ModelNode,
 	call: Call,
 	done: (end: CallEnd) => void,
 ): () => void {
-	const {clock, contender} = world;
+	const {clock, variant} = simulation;
 	let tries = 0;
-	let over = false;
+	let isOver = false;
 	let mayHaveRun = false;
 	let excluded: string[] = [];
 	let abandon: (() => void) | undefined;
 
 	const finish = (end: CallEnd) => {
-		over = true;
+		isOver = true;
 		done(end.kind === 'notRun' && mayHaveRun ? {...end, kind: 'unknown'} : end);
 	};
 
 	const tryOnce = () => {
-		if (over) {
+		if (isOver) {
 			return;
 		}
 
-		const facts = describe(world, call, tries++);
+		const facts = createCallFacts(simulation, call, tries++);
 		const decision = node.routing.choose(facts, excluded, clock.now());
 		if (decision.kind === 'refuse') {
-			finish(endRefused(decision));
+			finish(createRefusedEnd(decision));
 			return;
 		}
 
@@ -45,9 +50,9 @@
 			facts,
 			node: decision.node,
 			hasRun: false,
-			saidNotRun: false,
+			reportedNotRun: false,
 		};
-		abandon = send(world, node, attempt, (end, result) => {
+		abandon = send(simulation, node, attempt, (end, result) => {
 			settle(facts, end, result);
 		});
 	};
@@ -61,7 +66,7 @@
 
 		mayHaveRun ||= end.kind === 'unknown';
 		const mayRepeat =
-			end.kind === 'notRun' || facts.idempotent || contender.repeatsUnknown;
+			end.kind === 'notRun' || facts.idempotent || variant.retriesUnknown;
 		if (!mayRepeat || call.deadline <= clock.now()) {
 			finish(end);
 			return;
@@ -83,25 +88,29 @@
 
 	tryOnce();
 	return () => {
-		if (contender.cancels) {
-			over = true;
+		if (variant.cancelsDownstream) {
+			isOver = true;
 			abandon?.();
 		}
 	};
 }
 
-function describe(world: World, call: Call, tries: number): CallFacts {
+function createCallFacts(
+	simulation: Simulation,
+	call: Call,
+	tries: number,
+): CallFacts {
 	const {operation, caller} = call.request;
 	const facts: CallFacts = {
 		chain: call.chain,
-		id: world.nextId(),
+		id: simulation.nextId(),
 		service: call.service,
 		requestClass: operation.requestClass,
 		caller,
 		operation: call.plan.operation,
-		deadline: world.contender.attemptDeadline(
+		deadline: simulation.variant.attemptDeadline(
 			call.deadline,
-			world.clock.now(),
+			simulation.clock.now(),
 			operation.tryTimeout,
 		),
 		attempts: call.attempts - tries,
@@ -116,23 +125,23 @@
 
 /** Sends one attempt; the returned function gives it up because the caller has gone. */
 function send(
-	world: World,
+	simulation: Simulation,
 	from: ModelNode,
 	attempt: Attempt,
 	done: (end: CallEnd, result: AttemptResult) => void,
 ): () => void {
-	const {clock, contender, tally} = world;
+	const {clock, variant, tally} = simulation;
 	const {facts, node} = attempt;
-	const to = world.nodesByName.get(node)!;
+	const to = simulation.nodesByName.get(node)!;
 	const begin = clock.now();
-	let open = true;
+	let isOpen = true;
 
 	const close = (
 		result: AttemptResult['result'],
 		end?: CallEnd,
 		load?: LoadReport,
 	) => {
-		open = false;
+		isOpen = false;
 		timer.cancel();
 		const attemptResult: AttemptResult = {
 			node,
@@ -152,51 +161,51 @@
 		return attemptResult;
 	};
 
-	const withdraw = () => {
-		if (contender.cancels) {
-			clock.setTimer(delayBetween(world, from, to), () => {
+	const sendCancellation = () => {
+		if (variant.cancelsDownstream) {
+			clock.setTimer(delayBetween(simulation, from, to), () => {
 				to.cancel(attempt);
 			});
 		}
 	};
 
 	const answer = (end: CallEnd, report: LoadReport) => {
-		clock.setTimer(delayBetween(world, to, from), () => {
-			const seen = distort(world, to, report);
-			from.routing.observe(facts.service, node, seen, clock.now());
-			if (!open) {
+		clock.setTimer(delayBetween(simulation, to, from), () => {
+			const observedReport = distortReport(simulation, to, report);
+			from.routing.observe(facts.service, node, observedReport, clock.now());
+			if (!isOpen) {
 				return;
 			}
 
 			if (end.kind === 'notRun') {
-				tally.saidNotRun(attempt);
+				tally.recordNotRun(attempt);
 			}
 
-			const result = close(resultOf(end), end, seen);
-			tally.attemptEnded(attempt, to.index, result);
+			const result = close(resultOf(end), end, observedReport);
+			tally.recordAttemptEnd(attempt, to.index, result);
 			done(end, result);
 		});
 	};
 
 	from.routing.started(facts, node, begin);
-	const timer = world.deadlines.set(facts.deadline, () => {
+	const timer = simulation.deadlines.set(facts.deadline, () => {
 		const end: CallEnd = {
 			kind: 'unknown',
 			code: ErrorCode.DeadlineWhileRunning,
 			retryAfter: 0,
 		};
 		const result = close('unknown', end);
-		tally.attemptEnded(attempt, to.index, result);
-		withdraw();
+		tally.recordAttemptEnd(attempt, to.index, result);
+		sendCancellation();
 		done(end, result);
 	});
-	clock.setTimer(delayBetween(world, from, to), () => {
+	clock.setTimer(delayBetween(simulation, from, to), () => {
 		to.receive(attempt, facts.deadline - begin, answer);
 	});
 	return () => {
-		if (open) {
+		if (isOpen) {
 			close('cancelled');
-			withdraw();
+			sendCancellation();
 		}
 	};
 }
@@ -206,19 +215,23 @@
 }
 
 /** Of so many reports, one is about a second old, or simply wrong. */
-const lateShare = 0.05;
-const wrongShare = 0.01;
+const staleReportRatio = 0.05;
+const wrongReportRatio = 0.01;
 
 /** Some reports are late, and some claim an idle or a hopeless target. */
-function distort(world: World, to: ModelNode, report: LoadReport): LoadReport {
-	const draw = world.reportRandom.fraction();
-	if (draw < wrongShare / 2) {
+function distortReport(
+	simulation: Simulation,
+	to: ModelNode,
+	report: LoadReport,
+): LoadReport {
+	const draw = simulation.reportRandom.fraction();
+	if (draw < wrongReportRatio / 2) {
 		return {...report, inFlight: 0, waiting: 0, queueDelay: 0, level: 383};
 	}
 
-	if (draw < wrongShare) {
+	if (draw < wrongReportRatio) {
 		return {...report, waiting: 10 * report.limit, queueDelay: 5000, level: -1};
 	}
 
-	return draw < wrongShare + lateShare ? to.lateReport() : report;
+	return draw < wrongReportRatio + staleReportRatio ? to.staleReport() : report;
 }
--- a/packages/experiment/src/execution.ts
+++ b/packages/experiment/src/execution.ts
@@ -14,13 +14,13 @@
 import type {Timer} from '@egretspoke/shared';
 import type {Attempt, Call, CallEnd} from './call.js';
 import type {CallPlan} from './deployment.js';
-import {enter} from './entry.js';
-import type {Job} from './fake-target.js';
+import {routeCall} from './entry.js';
+import type {TargetRequest} from './fake-target.js';
 import type {ModelNode} from './model-node.js';
-import {drawWork, slowdownAt, type World} from './world.js';
+import {drawWork, slowdownAt, type Simulation} from './simulation.js';
 
 /** One request at its target. */
-export type Execution = Job & {
+export type Execution = TargetRequest & {
 	/** The caller has gone: stops the work, gives the slot back, cancels below. */
 	cancel(): void;
 };
@@ -30,7 +30,7 @@
 	node: ModelNode;
 	/** The call as this node knows it. */
 	facts: CallFacts;
-	release(job: Job): void;
+	release(targetRequest: TargetRequest): void;
 	/** The end, with what the caller is told; nothing after a cancellation. */
 	end(result: Completion['result'], callEnd?: CallEnd): void;
 };
@@ -40,29 +40,29 @@
 
 /** Creates an execution that waits for its slot. */
 export function createExecution(
-	world: World,
+	simulation: Simulation,
 	attempt: Attempt,
 	host: ExecutionHost,
 ): Execution {
-	const {clock, contender, tally} = world;
+	const {clock, variant, tally} = simulation;
 	const {node, facts} = host;
 	const {plan, request} = attempt.call;
-	const below = new Set<PendingCall>();
-	let working: {since: number; timer: Timer} | undefined;
-	let over = false;
+	const pendingCalls = new Set<PendingCall>();
+	let currentWork: {since: number; timer: Timer} | undefined;
+	let isOver = false;
 
 	const stopWork = () => {
-		if (working) {
-			working.timer.cancel();
-			tally.worked(request, clock.now() - working.since);
-			working = undefined;
+		if (currentWork) {
+			currentWork.timer.cancel();
+			tally.recordWork(request, clock.now() - currentWork.since);
+			currentWork = undefined;
 		}
 	};
 
 	const finish = (result: Completion['result'], end?: CallEnd) => {
-		over = true;
+		isOver = true;
 		stopWork();
-		for (const {cancel} of below) {
+		for (const {cancel} of pendingCalls) {
 			cancel?.();
 		}
 
@@ -70,13 +70,14 @@
 		host.end(result, end);
 	};
 
-	const work = (mean: number, next: () => void) => {
-		const duration = drawWork(world.workRandom, mean) * slowdownAt(world, node);
+	const runWork = (mean: number, next: () => void) => {
+		const duration =
+			drawWork(simulation.workRandom, mean) * slowdownAt(simulation, node);
 		const timer = clock.setTimer(duration, () => {
 			stopWork();
 			next();
 		});
-		working = {since: clock.now(), timer};
+		currentWork = {since: clock.now(), timer};
 	};
 
 	const succeed = () => {
@@ -85,7 +86,7 @@
 
 	const fail = (end: Exclude<CallEnd, {kind: 'answered'}>) => {
 		const {retryAfter} = end;
-		if (end.kind === 'notRun' && below.size === 0 && !attempt.hasRun) {
+		if (end.kind === 'notRun' && pendingCalls.size === 0 && !attempt.hasRun) {
 			finish('shed', {kind: 'notRun', code: ErrorCode.TargetShed, retryAfter});
 		} else {
 			finish('failed', {
@@ -96,17 +97,17 @@
 		}
 	};
 
-	const callOneBelow = (belowPlan: CallPlan, answered: () => void) => {
+	const callDownstream = (downstreamPlan: CallPlan, answered: () => void) => {
 		const pending: PendingCall = {};
-		below.add(pending);
-		const call = createCallBelow(world, attempt, {
+		pendingCalls.add(pending);
+		const call = createDownstreamCall(simulation, attempt, {
 			node,
 			facts,
-			plan: belowPlan,
+			plan: downstreamPlan,
 		});
-		pending.cancel = enter(world, node, call, (end) => {
-			below.delete(pending);
-			if (over) {
+		pending.cancel = routeCall(simulation, node, call, (end) => {
+			pendingCalls.delete(pending);
+			if (isOver) {
 				return;
 			}
 
@@ -118,18 +119,18 @@
 		});
 	};
 
-	const callBelow = () => {
-		let open = plan.below.length;
+	const startDownstreamCalls = () => {
+		let remaining = plan.downstreamCalls.length;
 		const answered = () => {
-			if (--open === 0) {
-				tally.tookEffect(attempt);
-				work(plan.after, succeed);
+			if (--remaining === 0) {
+				tally.recordEffect(attempt);
+				runWork(plan.after, succeed);
 			}
 		};
 
-		for (const belowPlan of plan.below) {
-			callOneBelow(belowPlan, answered);
-			if (over) {
+		for (const downstreamPlan of plan.downstreamCalls) {
+			callDownstream(downstreamPlan, answered);
+			if (isOver) {
 				return;
 			}
 		}
@@ -137,15 +138,15 @@
 
 	const execution: Execution = {
 		start() {
-			if (plan.below.length === 0) {
-				tally.tookEffect(attempt);
-				work(plan.before, succeed);
+			if (plan.downstreamCalls.length === 0) {
+				tally.recordEffect(attempt);
+				runWork(plan.before, succeed);
 			} else {
-				work(plan.before, callBelow);
+				runWork(plan.before, startDownstreamCalls);
 			}
 		},
 		cancel() {
-			if (!over && contender.cancels) {
+			if (!isOver && variant.cancelsDownstream) {
 				finish('cancelled');
 			}
 		},
@@ -153,8 +154,8 @@
 	return execution;
 }
 
-function createCallBelow(
-	world: World,
+function createDownstreamCall(
+	simulation: Simulation,
 	parent: Attempt,
 	at: {node: ModelNode; facts: CallFacts; plan: CallPlan},
 ): Call {
@@ -164,12 +165,12 @@
 		chain,
 		request: parent.call.request,
 		plan,
-		service: world.deployment.services[plan.role].name,
-		deadline: world.contender.callDeadline(facts.deadline),
+		service: simulation.deployment.services[plan.role].name,
+		deadline: simulation.variant.callDeadline(facts.deadline),
 		attempts: node.routing.downstreamAttempts(facts),
 		parent,
 	};
-	const priority = chainPriority(node.below, chain);
+	const priority = chainPriority(node.downstreamLevels, chain);
 	if (priority !== undefined) {
 		call.priority = priority;
 	}
--- a/packages/experiment/src/experiment.ts
+++ b/packages/experiment/src/experiment.ts
@@ -1,9 +1,9 @@
 /** One experiment: the same seeded load through each policy. */
 import {computeLimit} from './capacity.js';
-import {findContender} from './contender.js';
+import {findVariant} from './policy-variant.js';
 import {deployments, type DeploymentName} from './deployment.js';
 import {computeFigures, goodputOverTime, type Figures} from './figures.js';
-import {runContender} from './run.js';
+import {runVariant} from './run.js';
 import {scenarios, type ScenarioName} from './scenario.js';
 
 /** What is run. */
@@ -37,13 +37,13 @@
 	const policies: Record<string, Figures> = {};
 	let limit = 0;
 	for (const name of setup.policies) {
-		const contender = findContender(name);
-		if (contender === undefined) {
+		const variant = findVariant(name);
+		if (variant === undefined) {
 			throw new RangeError(`no policy is named ${name}`);
 		}
 
-		const tally = runContender(contender, deployment, scenario, seed);
-		limit = computeLimit(deployment, scenario, tally.wants);
+		const tally = runVariant(variant, deployment, scenario, seed);
+		limit = computeLimit(deployment, scenario, tally.userArrivals);
 		policies[name] = computeFigures(tally, scenario, limit);
 		if (observe) {
 			for (const point of goodputOverTime(tally, scenario)) {
@@ -62,12 +62,12 @@
 }
 
 /** What is known by policy is printed beside the rest, under the policy's name. */
-type Printable = Record<string, unknown> & {
+type PrintableResult = Record<string, unknown> & {
 	policies: Record<string, unknown>;
 };
 
 /** The result as the one JSON object of the command; what isn't known is null. */
-export function print({policies, ...rest}: Printable): string {
+export function formatResult({policies, ...rest}: PrintableResult): string {
 	return JSON.stringify({...rest, ...policies}, (_key, value: unknown) =>
 		value === undefined ? null : value,
 	);
--- a/packages/experiment/src/fake-target.ts
+++ b/packages/experiment/src/fake-target.ts
@@ -6,16 +6,16 @@
  */
 
 /** A request at the target. */
-export type Job = {
+export type TargetRequest = {
 	/** Called when the job has its slot. */
 	start(): void;
 };
 
 export type FakeTarget = {
 	/** Takes the job in; false when no connection is left. */
-	offer(job: Job): boolean;
+	offer(targetRequest: TargetRequest): boolean;
 	/** The job has ended or was cancelled, running or not; harmless when repeated. */
-	release(job: Job): void;
+	release(targetRequest: TargetRequest): void;
 	/** Connections open now or before: a job that needs a further one pays for it. */
 	needsConnection(): boolean;
 	/** How many jobs have ended with a slot. */
@@ -27,42 +27,45 @@
 	slots: number,
 	connections: number,
 ): FakeTarget {
-	const waiting = new Set<Job>();
-	const running = new Set<Job>();
+	const waiting = new Set<TargetRequest>();
+	const running = new Set<TargetRequest>();
 	let completed = 0;
-	let opened = 0;
+	let openedConnections = 0;
 
-	const fill = () => {
-		for (const job of waiting) {
+	const startWaiting = () => {
+		for (const targetRequest of waiting) {
 			if (running.size >= slots) {
 				return;
 			}
 
-			waiting.delete(job);
-			running.add(job);
-			job.start();
+			waiting.delete(targetRequest);
+			running.add(targetRequest);
+			targetRequest.start();
 		}
 	};
 
 	return {
-		offer(job) {
+		offer(targetRequest) {
 			if (waiting.size + running.size >= connections) {
 				return false;
 			}
 
-			waiting.add(job);
-			opened = Math.max(opened, waiting.size + running.size);
-			fill();
+			waiting.add(targetRequest);
+			openedConnections = Math.max(
+				openedConnections,
+				waiting.size + running.size,
+			);
+			startWaiting();
 			return true;
 		},
-		release(job) {
-			waiting.delete(job);
-			if (running.delete(job)) {
+		release(targetRequest) {
+			waiting.delete(targetRequest);
+			if (running.delete(targetRequest)) {
 				completed++;
-				fill();
+				startWaiting();
 			}
 		},
-		needsConnection: () => waiting.size + running.size >= opened,
+		needsConnection: () => waiting.size + running.size >= openedConnections,
 		completed: () => completed,
 	};
 }
--- a/packages/experiment/src/figures.ts
+++ b/packages/experiment/src/figures.ts
@@ -1,6 +1,6 @@
 /** The figures of one run, from what was counted. */
 import type {UserRequest} from './call.js';
-import {isHeavy, type Scenario} from './scenario.js';
+import {isHeavyCaller, type Scenario} from './scenario.js';
 import type {Tally} from './tally.js';
 
 /** What the command prints for each side. */
@@ -46,21 +46,26 @@
 	limit: number,
 ): Figures {
 	const overload = {
-		begin: scenario.calm,
-		end: scenario.calm + scenario.trigger,
+		begin: scenario.baselineDuration,
+		end: scenario.baselineDuration + scenario.triggerDuration,
 	};
-	const before = {begin: scenario.calm / 2, end: scenario.calm};
-	const runEnd = overload.end + scenario.aftermath;
-	const offered = tally.requests.filter(({sentAt}) => isIn(overload, sentAt));
+	const before = {
+		begin: scenario.baselineDuration / 2,
+		end: scenario.baselineDuration,
+	};
+	const runEnd = overload.end + scenario.recoveryDuration;
+	const offered = tally.requests.filter(({sentAt}) =>
+		isWithin(overload, sentAt),
+	);
 	const answers = answerInstants(tally.requests);
-	const goodputBefore = rateIn(before, answers);
-	const arrivals = tally.deepArrivals.filter((at) => isIn(overload, at));
-	const within = offered.filter(({caller}) => !isHeavy(caller));
-	const heavy = offered.filter(({caller}) => isHeavy(caller));
+	const goodputBefore = rateWithin(before, answers);
+	const arrivals = tally.deepArrivals.filter((at) => isWithin(overload, at));
+	const within = offered.filter(({caller}) => !isHeavyCaller(caller));
+	const heavy = offered.filter(({caller}) => isHeavyCaller(caller));
 	return {
-		goodput: rounded(rateIn(overload, answers)),
-		goodputShare: rounded(rateIn(overload, answers) / limit),
-		essentialGoodput: rounded(
+		goodput: round(rateWithin(overload, answers)),
+		goodputShare: round(rateWithin(overload, answers) / limit),
+		essentialGoodput: round(
 			answeredShare(
 				offered.filter(({operation}) => operation.requestClass === 'essential'),
 			),
@@ -69,18 +74,18 @@
 			begin: overload.end,
 			end: runEnd,
 		}),
-		amplification: rounded(arrivals.length / offered.length),
+		amplification: round(arrivals.length / offered.length),
 		notRunThatRan: tally.notRunThatRan(),
 		ranTwice: tally.ranTwice(),
-		wastedWork: rounded(wastedShare(offered)),
-		offered: rounded((offered.length * 1000) / scenario.trigger),
-		goodputBefore: rounded(goodputBefore),
-		goodputAtEnd: rounded(
-			rateIn({begin: runEnd - 10_000, end: runEnd}, answers),
+		wastedWork: round(wastedShare(offered)),
+		offered: round((offered.length * 1000) / scenario.triggerDuration),
+		goodputBefore: round(goodputBefore),
+		goodputAtEnd: round(
+			rateWithin({begin: runEnd - 10_000, end: runEnd}, answers),
 		),
-		answeredWithinShare: rounded(answeredShare(within)),
+		answeredWithinShare: round(answeredShare(within)),
 		answeredOverShare:
-			heavy.length === 0 ? undefined : rounded(answeredShare(heavy)),
+			heavy.length === 0 ? undefined : round(answeredShare(heavy)),
 		...deepTimes(tally, scenario, overload),
 	};
 }
@@ -91,7 +96,10 @@
 	scenario: Scenario,
 ): Array<{second: number; goodput: number}> {
 	const answers = answerInstants(tally.requests);
-	const runEnd = scenario.calm + scenario.trigger + scenario.aftermath;
+	const runEnd =
+		scenario.baselineDuration +
+		scenario.triggerDuration +
+		scenario.recoveryDuration;
 	const bin = 500;
 	const counts = Array.from({length: runEnd / bin}, () => 0);
 	for (const at of answers) {
@@ -108,7 +116,7 @@
 const recoveryWindow = 1000;
 const recoveryStep = 100;
 /** Milliseconds for which it must stay back. */
-const recoveryHold = 5000;
+const recoveryHoldDuration = 5000;
 /** The share of the goodput before that counts as being back. */
 const recoveredShare = 0.95;
 
@@ -122,18 +130,19 @@
 	goodputBefore: number,
 	span: Span,
 ): number | undefined {
-	const enough = goodputBefore * recoveredShare;
+	const threshold = goodputBefore * recoveredShare;
 	for (
 		let end = span.begin + recoveryStep;
-		end + recoveryHold <= span.end;
+		end + recoveryHoldDuration <= span.end;
 		end += recoveryStep
 	) {
 		const begin = Math.max(span.begin, end - recoveryWindow);
 		if (
-			rateIn({begin, end}, answers) >= enough &&
-			rateIn({begin: end, end: end + recoveryHold}, answers) >= enough
+			rateWithin({begin, end}, answers) >= threshold &&
+			rateWithin({begin: end, end: end + recoveryHoldDuration}, answers) >=
+				threshold
 		) {
-			return rounded((end - span.begin) / 1000);
+			return round((end - span.begin) / 1000);
 		}
 	}
 
@@ -151,12 +160,12 @@
 }
 
 /** Answers a second within a span; the instants are sorted. */
-function rateIn({begin, end}: Span, sorted: number[]): number {
-	const count = firstNotBefore(sorted, end) - firstNotBefore(sorted, begin);
+function rateWithin({begin, end}: Span, sorted: number[]): number {
+	const count = lowerBound(sorted, end) - lowerBound(sorted, begin);
 	return (count * 1000) / (end - begin);
 }
 
-function firstNotBefore(sorted: number[], instant: number): number {
+function lowerBound(sorted: number[], instant: number): number {
 	let low = 0;
 	let high = sorted.length;
 	while (low < high) {
@@ -171,18 +180,18 @@
 	return low;
 }
 
-function isIn({begin, end}: Span, instant: number): boolean {
+function isWithin({begin, end}: Span, instant: number): boolean {
 	return instant >= begin && instant < end;
 }
 
-function wasAnswered({answeredAt, deadline}: UserRequest): boolean {
+function isAnsweredInTime({answeredAt, deadline}: UserRequest): boolean {
 	return answeredAt !== undefined && answeredAt <= deadline;
 }
 
 function answeredShare(requests: UserRequest[]): number {
 	return requests.length === 0
 		? 1
-		: requests.filter((request) => wasAnswered(request)).length /
+		: requests.filter((request) => isAnsweredInTime(request)).length /
 				requests.length;
 }
 
@@ -191,14 +200,16 @@
 	let wasted = 0;
 	for (const request of requests) {
 		all += request.work;
-		wasted += wasAnswered(request) ? 0 : request.work;
+		wasted += isAnsweredInTime(request) ? 0 : request.work;
 	}
 
 	return all === 0 ? 0 : wasted / all;
 }
 
 function deepTimes(tally: Tally, scenario: Scenario, overload: Span) {
-	const calls = tally.deepCalls.filter(({endedAt}) => isIn(overload, endedAt));
+	const calls = tally.deepCalls.filter(({endedAt}) =>
+		isWithin(overload, endedAt),
+	);
 	const healthy = calls.filter(({index}) => scenario.slowdown(index) === 1);
 	const deepTime99 = percentile99(calls.map(({duration}) => duration));
 	const deepTime99Healthy = percentile99(healthy.map(({duration}) => duration));
@@ -208,16 +219,16 @@
 		deepTimeRatio:
 			deepTime99 === undefined || deepTime99Healthy === undefined
 				? undefined
-				: rounded(deepTime99 / deepTime99Healthy),
+				: round(deepTime99 / deepTime99Healthy),
 	};
 }
 
 function percentile99(values: number[]): number | undefined {
 	const sorted = values.toSorted((left, right) => left - right);
 	const value = sorted[Math.ceil(sorted.length * 0.99) - 1];
-	return value === undefined ? undefined : rounded(value);
+	return value === undefined ? undefined : round(value);
 }
 
-function rounded(value: number): number {
+function round(value: number): number {
 	return Math.round(value * 10_000) / 10_000;
 }
--- a/packages/experiment/src/home.ts
+++ b/packages/experiment/src/home.ts
@@ -8,8 +8,8 @@
  */
 import {ErrorCode} from '@egretspoke/protocol';
 import type {Attempt, CallEnd, UserRequest} from './call.js';
-import {enter} from './entry.js';
-import type {World} from './world.js';
+import {routeCall} from './entry.js';
+import type {Simulation} from './simulation.js';
 
 /** The door of one place in the deployment. */
 export type Home = {
@@ -18,40 +18,40 @@
 };
 
 /** Milliseconds after which a client may ask again for a request that is running. */
-const stillRunningRetry = 250;
+const stillRunningRetryAfter = 250;
 
 const stillRunning: CallEnd = {
 	kind: 'unknown',
 	code: ErrorCode.StillRunning,
-	retryAfter: stillRunningRetry,
+	retryAfter: stillRunningRetryAfter,
 };
 
 /** Creates the door of the node at a place. */
-export function createHome(world: World, place: number): Home {
-	const known = new Map<UserRequest, CallEnd>();
-	const {contender} = world;
+export function createHome(simulation: Simulation, place: number): Home {
+	const recordedEnds = new Map<UserRequest, CallEnd>();
+	const {variant} = simulation;
 
 	return {
 		handle(attempt, done) {
 			const {call} = attempt;
-			const node = world.nodes[place]!;
+			const node = simulation.nodes[place]!;
 			const {request} = call;
-			if (!contender.remembersKeys || request.operation.idempotent) {
-				return enter(world, node, {...call, parent: attempt}, done);
+			if (!variant.deduplicatesKeys || request.operation.idempotent) {
+				return routeCall(simulation, node, {...call, parent: attempt}, done);
 			}
 
-			const earlier = known.get(request);
-			if (earlier) {
-				done(earlier);
+			const recordedEnd = recordedEnds.get(request);
+			if (recordedEnd) {
+				done(recordedEnd);
 				return () => undefined;
 			}
 
-			known.set(request, stillRunning);
-			return enter(world, node, {...call, parent: attempt}, (end) => {
+			recordedEnds.set(request, stillRunning);
+			return routeCall(simulation, node, {...call, parent: attempt}, (end) => {
 				if (end.kind === 'notRun') {
-					known.delete(request);
+					recordedEnds.delete(request);
 				} else {
-					known.set(request, end);
+					recordedEnds.set(request, end);
 				}
 
 				done(end);
--- a/packages/experiment/src/index.ts
+++ b/packages/experiment/src/index.ts
@@ -1,5 +1,5 @@
 export * from './capacity.js';
-export * from './contender.js';
+export * from './policy-variant.js';
 export * from './deployment.js';
 export * from './experiment.js';
 export * from './figures.js';
--- a/packages/experiment/src/main.ts
+++ b/packages/experiment/src/main.ts
@@ -2,15 +2,15 @@
 import {writeFileSync} from 'node:fs';
 import process from 'node:process';
 import {Command, CommanderError} from 'commander';
-import {contenderNames} from './contender.js';
+import {variantNames} from './policy-variant.js';
 import {deploymentNames} from './deployment.js';
 import {
-	print,
+	formatResult,
 	runExperiment,
 	type ExperimentResult,
 	type GoodputPoint,
 } from './experiment.js';
-import {writeMechanismTable} from './mechanism-table.js';
+import {formatMechanismTable} from './mechanism-table.js';
 import {
 	formatFindings,
 	readOptions,
@@ -21,13 +21,13 @@
 import {scenarioNames, scenarios} from './scenario.js';
 import {runSweep} from './sweep.js';
 
-const badUsage = 2;
+const usageErrorExitCode = 2;
 
 const example = `
 Example:
   npm run --silent experiment -- --scenario deep-slowdown --seed 1 --json
 
-Policies: ${contenderNames.join(', ')}`;
+Policies: ${variantNames.join(', ')}`;
 
 const command = new Command('experiment')
 	.description('The same seeded load through the naive policy and ours.')
@@ -42,9 +42,9 @@
 	.addHelpText('after', example)
 	.exitOverride()
 	.action((flags: Flags) => {
-		readOptions(flags).match(runAsAsked, (findings) => {
+		readOptions(flags).match(runCommand, (findings) => {
 			process.stderr.write(`${formatFindings(findings)}\n`);
-			process.exitCode = badUsage;
+			process.exitCode = usageErrorExitCode;
 		});
 	});
 
@@ -55,16 +55,16 @@
 		throw error;
 	}
 
-	process.exitCode = error.exitCode === 0 ? 0 : badUsage;
+	process.exitCode = error.exitCode === 0 ? 0 : usageErrorExitCode;
 }
 
-function runAsAsked(options: Options): void {
+function runCommand(options: Options): void {
 	const {seeds, isSweep, table, plot, ...setup} = options;
 	const seed = seeds[0]!;
 	if (table) {
-		process.stdout.write(writeMechanismTable(setup, seeds));
+		process.stdout.write(formatMechanismTable(setup, seeds));
 	} else if (isSweep) {
-		process.stdout.write(`${print(runSweep(setup, seeds))}\n`);
+		process.stdout.write(`${formatResult(runSweep(setup, seeds))}\n`);
 	} else {
 		const points: GoodputPoint[] = [];
 		const result = runExperiment({...setup, seed}, (point) => {
@@ -74,7 +74,7 @@
 			writeFileSync(plot, drawResult(result, points));
 		}
 
-		process.stdout.write(`${print(result)}\n`);
+		process.stdout.write(`${formatResult(result)}\n`);
 	}
 }
 
--- a/packages/experiment/src/mechanism-table.ts
+++ b/packages/experiment/src/mechanism-table.ts
@@ -2,7 +2,7 @@
 import {mechanisms} from '@egretspoke/decisions';
 import type {ExperimentSetup} from './experiment.js';
 import type {Figures} from './figures.js';
-import {runSweep, type FigureSpreads} from './sweep.js';
+import {runSweep, type FigureSummaries} from './sweep.js';
 
 const columns: Array<{heading: string; field: keyof Figures}> = [
 	{heading: 'goodput / limit', field: 'goodputShare'},
@@ -15,7 +15,7 @@
 ];
 
 /** The table as markdown, one row each for naive, ours, and ours without one mechanism. */
-export function writeMechanismTable(
+export function formatMechanismTable(
 	setup: Omit<ExperimentSetup, 'seed' | 'policies'>,
 	seeds: number[],
 ): string {
@@ -38,7 +38,7 @@
 	].join('\n');
 }
 
-function formatRow(figures: FigureSpreads): string[] {
+function formatRow(figures: FigureSummaries): string[] {
 	return columns.map(({field}) => {
 		const {median} = figures[field];
 		return median === undefined ? 'none' : String(median);
--- a/packages/experiment/src/model-node.ts
+++ b/packages/experiment/src/model-node.ts
@@ -12,11 +12,11 @@
 	RoutingPolicy,
 } from '@egretspoke/decisions';
 import type {Timer} from '@egretspoke/shared';
-import {endRefused, type Attempt, type CallEnd} from './call.js';
+import {createRefusedEnd, type Attempt, type CallEnd} from './call.js';
 import {connectionCost, type ServiceRole} from './deployment.js';
 import {createExecution} from './execution.js';
 import {createFakeTarget} from './fake-target.js';
-import type {World} from './world.js';
+import type {Simulation} from './simulation.js';
 
 /** Sends the end of an attempt back, with the load report of that moment. */
 export type Reply = (end: CallEnd, report: LoadReport) => void;
@@ -32,16 +32,16 @@
 	since: number;
 	routing: RoutingPolicy;
 	/** What the layers below let in, for admission and routing alike. */
-	below: DownstreamLevels;
+	downstreamLevels: DownstreamLevels;
 	/** The nodes to which a connection is open. */
-	contacts: Set<ModelNode>;
+	connectedNodes: Set<ModelNode>;
 	receive(attempt: Attempt, timeLeft: number, reply: Reply): void;
 	/** The caller gave the attempt up. */
 	cancel(attempt: Attempt): void;
 	/** How many requests its target has run. */
 	completed(): number;
 	/** The report of a second ago. */
-	lateReport(): LoadReport;
+	staleReport(): LoadReport;
 };
 
 /** What tells one node from another. */
@@ -54,11 +54,11 @@
 	| 'startsCold'
 	| 'since'
 	| 'routing'
-	| 'below'
+	| 'downstreamLevels'
 > & {admission: AdmissionPolicy};
 
 /** An attempt at this node, waiting or running. */
-type Present = {
+type PendingAttempt = {
 	attempt: Attempt;
 	facts: CallFacts;
 	reply: Reply;
@@ -67,34 +67,34 @@
 };
 
 /** Milliseconds between the reports that are kept as late ones. */
-const reportAge = 1000;
+const staleReportAge = 1000;
 
 /** Creates a node of the run. */
 export function createModelNode(
-	world: World,
+	simulation: Simulation,
 	options: ModelNodeOptions,
 ): ModelNode {
-	const {clock, tally} = world;
+	const {clock, tally} = simulation;
 	const {role, admission} = options;
-	const {slots, connections} = world.deployment.services[role];
+	const {slots, connections} = simulation.deployment.services[role];
 	const target = createFakeTarget(slots, connections);
-	const present = new Map<string, Present>();
-	let alarm: {at: number; timer: Timer} | undefined;
-	let late = admission.report(clock.now());
-	let current = {at: clock.now(), report: late};
+	const pendingAttempts = new Map<string, PendingAttempt>();
+	let wakeTimer: {at: number; timer: Timer} | undefined;
+	let staleReport = admission.report(clock.now());
+	let latestReport = {at: clock.now(), report: staleReport};
 
-	const respond = (entry: Present, end: CallEnd) => {
-		present.delete(entry.facts.id);
+	const respond = (entry: PendingAttempt, end: CallEnd) => {
+		pendingAttempts.delete(entry.facts.id);
 		const report = admission.report(clock.now(), entry.facts.operation);
-		if (clock.now() - current.at >= reportAge) {
-			late = current.report;
-			current = {at: clock.now(), report};
+		if (clock.now() - latestReport.at >= staleReportAge) {
+			staleReport = latestReport.report;
+			latestReport = {at: clock.now(), report};
 		}
 
 		entry.reply(end, report);
 	};
 
-	const handOver = (entry: Present) => {
+	const dispatchAttempt = (entry: PendingAttempt) => {
 		const begin = clock.now();
 		const end = (result: Completion['result'], callEnd?: CallEnd) => {
 			const duration = clock.now() - begin;
@@ -102,17 +102,17 @@
 			if (callEnd) {
 				respond(entry, callEnd);
 			} else {
-				present.delete(entry.facts.id);
+				pendingAttempts.delete(entry.facts.id);
 			}
 
-			pump();
+			processQueue();
 		};
 
-		const execution = createExecution(world, entry.attempt, {
+		const execution = createExecution(simulation, entry.attempt, {
 			node,
 			facts: entry.facts,
-			release(job) {
-				target.release(job);
+			release(targetRequest) {
+				target.release(targetRequest);
 			},
 			end,
 		});
@@ -138,19 +138,22 @@
 		}
 	};
 
-	const decide = (entry: Present, decision: AdmissionDecision) => {
+	const applyDecision = (
+		entry: PendingAttempt,
+		decision: AdmissionDecision,
+	) => {
 		if (decision.kind === 'dispatch') {
-			handOver(entry);
+			dispatchAttempt(entry);
 		} else if (decision.kind === 'refuse') {
-			respond(entry, endRefused(decision));
+			respond(entry, createRefusedEnd(decision));
 		}
 	};
 
-	const pump = () => {
-		for (const turn of admission.processQueue(clock.now())) {
-			const entry = present.get(turn.id);
+	const processQueue = () => {
+		for (const decision of admission.processQueue(clock.now())) {
+			const entry = pendingAttempts.get(decision.id);
 			if (entry) {
-				decide(entry, turn);
+				applyDecision(entry, decision);
 			}
 		}
 
@@ -159,39 +162,39 @@
 
 	const schedule = () => {
 		const at = admission.wakeAt();
-		if (at === alarm?.at) {
+		if (at === wakeTimer?.at) {
 			return;
 		}
 
-		alarm?.timer.cancel();
-		alarm =
+		wakeTimer?.timer.cancel();
+		wakeTimer =
 			at === undefined
 				? undefined
 				: {
 						at,
 						timer: clock.setTimer(at - clock.now(), () => {
-							alarm = undefined;
-							pump();
+							wakeTimer = undefined;
+							processQueue();
 						}),
 					};
 	};
 
 	const node: ModelNode = {
 		...options,
-		contacts: new Set(),
+		connectedNodes: new Set(),
 		receive(attempt, timeLeft, reply) {
 			if (role === 'deep') {
-				tally.reachedDeepest();
+				tally.recordDeepArrival();
 			}
 
 			const facts = {...attempt.facts, deadline: clock.now() + timeLeft};
-			const entry: Present = {attempt, facts, reply};
-			present.set(facts.id, entry);
-			decide(entry, admission.arrive(facts, clock.now()));
+			const entry: PendingAttempt = {attempt, facts, reply};
+			pendingAttempts.set(facts.id, entry);
+			applyDecision(entry, admission.arrive(facts, clock.now()));
 			schedule();
 		},
 		cancel(attempt) {
-			const entry = present.get(attempt.facts.id);
+			const entry = pendingAttempts.get(attempt.facts.id);
 			if (!entry) {
 				return;
 			}
@@ -199,13 +202,13 @@
 			if (entry.stop) {
 				entry.stop();
 			} else if (admission.withdraw(attempt.facts.id, clock.now())) {
-				present.delete(attempt.facts.id);
+				pendingAttempts.delete(attempt.facts.id);
 			}
 
-			pump();
+			processQueue();
 		},
 		completed: target.completed,
-		lateReport: () => late,
+		staleReport: () => staleReport,
 	};
 	return node;
 }
--- a/packages/experiment/src/options.ts
+++ b/packages/experiment/src/options.ts
@@ -1,7 +1,7 @@
 /** The command line of the experiment, checked as a whole: one error with every finding. */
 import {formatFinding, type Finding} from '@egretspoke/shared';
 import {err, ok, type Result} from 'neverthrow';
-import {contenderNames} from './contender.js';
+import {variantNames} from './policy-variant.js';
 import {deploymentNames, type DeploymentName} from './deployment.js';
 import {scenarioNames, type ScenarioName} from './scenario.js';
 
@@ -32,8 +32,13 @@
 /** Reads the flags; the error lists all that is wrong with them. */
 export function readOptions(flags: Flags): Result<Options, Finding[]> {
 	const findings: Finding[] = [];
-	const scenario = oneOf('--scenario', flags.scenario, scenarioNames, findings);
-	const deployment = oneOf(
+	const scenario = readChoice(
+		'--scenario',
+		flags.scenario,
+		scenarioNames,
+		findings,
+	);
+	const deployment = readChoice(
 		'--deployment',
 		flags.deployment,
 		deploymentNames,
@@ -42,7 +47,7 @@
 	const seeds = readSeeds(flags, findings);
 	const policies = flags.policy ?? ['naive', 'egretspoke'];
 	for (const policy of policies) {
-		oneOf('--policy', policy, contenderNames, findings);
+		readChoice('--policy', policy, variantNames, findings);
 	}
 
 	if (
@@ -69,7 +74,7 @@
 	return findings.map((finding) => formatFinding(finding)).join('\n');
 }
 
-function oneOf<Name extends string>(
+function readChoice<Name extends string>(
 	path: string,
 	value: string | undefined,
 	names: readonly Name[],
--- a/packages/experiment/src/plot.ts
+++ b/packages/experiment/src/plot.ts
@@ -1,11 +1,11 @@
-/** Goodput over time as a picture, the same bytes for the same points. */
+/** Goodput over time as a chart, the same bytes for the same points. */
 import {line, plot, rectX, ruleY, selectLast, text} from '@observablehq/plot';
 import {parseHTML} from 'linkedom';
 import type {GoodputPoint} from './experiment.js';
 import type {Scenario} from './scenario.js';
 
-/** What the picture shows. */
-export type GoodputPicture = {
+/** What the chart shows. */
+export type GoodputChart = {
 	title: string;
 	scenario: Scenario;
 	limitGoodput: number;
@@ -14,12 +14,12 @@
 
 const millisecondsPerSecond = 1000;
 
-/** Without it a viewer does not take the file for a picture. */
+/** Without it a viewer does not take the file for a chart. */
 const namespace = 'http://www.w3.org/2000/svg';
 
-/** Draws the picture as the text of an SVG file. */
-export function drawGoodput(picture: GoodputPicture): string {
-	const {scenario, points, limitGoodput, title} = picture;
+/** Draws the chart as the text of an SVG file. */
+export function drawGoodput(chart: GoodputChart): string {
+	const {scenario, points, limitGoodput, title} = chart;
 	// Without the browser's library there is no type for a document; the plotting library accepts linkedom's.
 	const {document} = parseHTML(
 		'<!doctype html><html><body></body></html>',
@@ -27,8 +27,10 @@
 		document: never;
 	};
 	const trigger = {
-		begin: scenario.calm / millisecondsPerSecond,
-		end: (scenario.calm + scenario.trigger) / millisecondsPerSecond,
+		begin: scenario.baselineDuration / millisecondsPerSecond,
+		end:
+			(scenario.baselineDuration + scenario.triggerDuration) /
+			millisecondsPerSecond,
 	};
 	const figure = plot({
 		document,
--- a/packages/experiment/src/contender.ts
+++ b/packages/experiment/src/policy-variant.ts
@@ -12,17 +12,17 @@
 import {naivePolicy, naiveTries} from '@egretspoke/stand-ins';
 
 /** One side of the comparison. */
-export type Contender = {
+export type PolicyVariant = {
 	name: string;
 	policy: Policy;
 	/** Attempts with which a client's request enters. */
 	attempts: number;
 	/** Whether a caller that gives up has its work below cancelled. */
-	cancels: boolean;
+	cancelsDownstream: boolean;
 	/** Whether the entry node remembers the keys of requests that may not be repeated. */
-	remembersKeys: boolean;
+	deduplicatesKeys: boolean;
 	/** Whether a request that may not be repeated is tried again when its outcome is unknown. */
-	repeatsUnknown: boolean;
+	retriesUnknown: boolean;
 	/** The deadline of a call whose caller gives up at the instant; without end where deadlines aren't passed on. */
 	callDeadline(callerDeadline: number): number;
 	/** When one attempt is given up: at the call's deadline, or after the operation's timeout for each try. */
@@ -33,38 +33,41 @@
 const withoutPrefix = 'without:';
 
 /** Every name that `--policy` takes. */
-export const contenderNames: string[] = [
+export const variantNames: string[] = [
 	'naive',
 	'egretspoke',
 	...mechanisms.map((mechanism) => `${withoutPrefix}${mechanism}`),
 ];
 
 /** Finds a side by its name; undefined when there is none. */
-export function findContender(name: string): Contender | undefined {
+export function findVariant(name: string): PolicyVariant | undefined {
 	return table[name]?.();
 }
 
-const table: Record<string, () => Contender> = {
+const table: Record<string, () => PolicyVariant> = {
 	naive: () => ({
 		name: 'naive',
 		policy: naivePolicy,
 		attempts: naiveTries,
 		callDeadline: () => Number.POSITIVE_INFINITY,
 		attemptDeadline: (_deadline, now, tryTimeout) => now + tryTimeout,
-		cancels: false,
-		remembersKeys: false,
-		repeatsUnknown: true,
+		cancelsDownstream: false,
+		deduplicatesKeys: false,
+		retriesUnknown: true,
 	}),
-	egretspoke: () => createEgretspoke('egretspoke'),
+	egretspoke: () => createEgretspokeVariant('egretspoke'),
 	...Object.fromEntries(
 		mechanisms.map((mechanism) => {
 			const name = `${withoutPrefix}${mechanism}`;
-			return [name, () => createEgretspoke(name, mechanism)];
+			return [name, () => createEgretspokeVariant(name, mechanism)];
 		}),
 	),
 };
 
-function createEgretspoke(name: string, without?: Mechanism): Contender {
+function createEgretspokeVariant(
+	name: string,
+	without?: Mechanism,
+): PolicyVariant {
 	return {
 		name,
 		policy: createEgretspokePolicy(
@@ -73,8 +76,8 @@
 		attempts: 3,
 		callDeadline: (callerDeadline) => callerDeadline,
 		attemptDeadline: (deadline) => deadline,
-		cancels: without !== 'cancellation',
-		remembersKeys: true,
-		repeatsUnknown: false,
+		cancelsDownstream: without !== 'cancellation',
+		deduplicatesKeys: true,
+		retriesUnknown: false,
 	};
 }
--- a/packages/experiment/src/run.ts
+++ b/packages/experiment/src/run.ts
@@ -4,7 +4,7 @@
 	createDownstreamLevels,
 	type RoutingCandidate,
 } from '@egretspoke/decisions';
-import type {Contender} from './contender.js';
+import type {PolicyVariant} from './policy-variant.js';
 import {createDeadlineWheel} from './deadline-wheel.js';
 import {
 	capacityOf,
@@ -17,108 +17,117 @@
 import type {Scenario} from './scenario.js';
 import {createTally, type Tally} from './tally.js';
 import {startDemand} from './users.js';
-import type {World} from './world.js';
+import type {Simulation} from './simulation.js';
 
 /** How long before the run every target was started, in milliseconds. */
-const longAgo = 3_600_000;
+const targetAge = 3_600_000;
 
 /** Runs from the first want to the end of the aftermath. */
-export function runContender(
-	contender: Contender,
+export function runVariant(
+	variant: PolicyVariant,
 	deployment: Deployment,
 	scenario: Scenario,
 	seed: number,
 ): Tally {
 	const root = createRandom(seed);
 	const demandRandom = root.fork();
-	const world = createWorld(contender, deployment, scenario, seed);
+	const simulation = createSimulation(variant, deployment, scenario, seed);
 	const policyRandom = root.fork();
-	buildNodes(world, () => policyRandom.fork());
-	announce(world);
-	scheduleDemand(world, demandRandom);
-	world.clock.setTimer(scenario.calm, () => {
-		replaceTargets(world, () => policyRandom.fork());
+	buildNodes(simulation, () => policyRandom.fork());
+	publishCandidates(simulation);
+	scheduleDemand(simulation, demandRandom);
+	simulation.clock.setTimer(scenario.baselineDuration, () => {
+		replaceTargets(simulation, () => policyRandom.fork());
 	});
-	world.clock.advanceTo(scenario.calm + scenario.trigger + scenario.aftermath);
-	return world.tally;
+	simulation.clock.advanceTo(
+		scenario.baselineDuration +
+			scenario.triggerDuration +
+			scenario.recoveryDuration,
+	);
+	return simulation.tally;
 }
 
-function createWorld(
-	contender: Contender,
+function createSimulation(
+	variant: PolicyVariant,
 	deployment: Deployment,
 	scenario: Scenario,
 	seed: number,
-): World {
+): Simulation {
 	const clock = createVirtualClock();
-	let identifiers = 0;
+	let identifierCount = 0;
 	const noise = createRandom(-seed - 1);
 	return {
 		clock,
 		deployment,
 		scenario,
-		contender,
+		variant,
 		tally: createTally(() => clock.now()),
 		deadlines: createDeadlineWheel(clock),
 		nodes: [],
 		nodesByName: new Map(),
 		workRandom: noise.fork(),
 		reportRandom: noise.fork(),
-		nextId: () => String(identifiers++),
+		nextId: () => String(identifierCount++),
 	};
 }
 
-function buildNodes(world: World, fork: () => World['workRandom']): void {
+function buildNodes(
+	simulation: Simulation,
+	forkRandom: () => Simulation['workRandom'],
+): void {
 	for (const role of serviceRoles) {
-		const {targets} = world.deployment.services[role];
+		const {targets} = simulation.deployment.services[role];
 		for (let index = 0; index < targets; index++) {
-			const place = world.nodes.length;
-			world.nodes.push(createNode(world, fork, {role, index, place}));
+			const place = simulation.nodes.length;
+			simulation.nodes.push(
+				createNode(simulation, forkRandom, {role, index, place}),
+			);
 		}
 	}
 }
 
 function createNode(
-	world: World,
-	fork: () => World['workRandom'],
+	simulation: Simulation,
+	forkRandom: () => Simulation['workRandom'],
 	at: {role: ServiceRole; index: number; place: number; startsCold?: boolean},
 ): ModelNode {
 	const {role, index, place, startsCold = false} = at;
-	const {contender, deployment} = world;
+	const {variant, deployment} = simulation;
 	const {name: service, slots} = deployment.services[role];
 	const dataCentre = `data-centre-${(place % deployment.dataCentres) + 1}`;
-	const {policy} = contender;
-	const below = createDownstreamLevels();
-	const node = createModelNode(world, {
+	const {policy} = variant;
+	const downstreamLevels = createDownstreamLevels();
+	const node = createModelNode(simulation, {
 		name: `${service}-${index + 1}${startsCold ? '-new' : ''}`,
 		dataCentre,
 		role,
 		index,
 		startsCold,
-		since: startsCold ? world.clock.now() : -longAgo,
+		since: startsCold ? simulation.clock.now() : -targetAge,
 		routing: policy.createRouting({
 			dataCentre,
-			downstreamLevels: below,
-			random: fork(),
+			downstreamLevels,
+			random: forkRandom(),
 		}),
-		below,
+		downstreamLevels,
 		admission: policy.createAdmission({
 			dataCentre,
-			downstreamLevels: below,
-			random: fork(),
+			downstreamLevels,
+			random: forkRandom(),
 			service,
 			slots,
 		}),
 	});
-	world.nodesByName.set(node.name, node);
+	simulation.nodesByName.set(node.name, node);
 	return node;
 }
 
 /** Tells every node the candidates of every service. */
-function announce(world: World): void {
-	const now = world.clock.now();
+function publishCandidates(simulation: Simulation): void {
+	const now = simulation.clock.now();
 	for (const role of serviceRoles) {
-		const {name, slots, connections} = world.deployment.services[role];
-		const candidates = world.nodes
+		const {name, slots, connections} = simulation.deployment.services[role];
+		const candidates = simulation.nodes
 			.filter((node) => node.role === role)
 			.map<RoutingCandidate>((node) => ({
 				node: node.name,
@@ -128,21 +137,24 @@
 				since: node.since,
 				state: 'active',
 			}));
-		for (const {routing} of world.nodes) {
+		for (const {routing} of simulation.nodes) {
 			routing.candidatesChanged(name, candidates, now);
 		}
 	}
 }
 
 /** New VMs take the place of some of the deepest targets; the old ones finish what they have. */
-function replaceTargets(world: World, fork: () => World['workRandom']): void {
-	if (world.scenario.replaced === 0) {
+function replaceTargets(
+	simulation: Simulation,
+	forkRandom: () => Simulation['workRandom'],
+): void {
+	if (simulation.scenario.replacedTargets === 0) {
 		return;
 	}
 
-	for (const [place, {role, index}] of world.nodes.entries()) {
-		if (role === 'deep' && index < world.scenario.replaced) {
-			world.nodes[place] = createNode(world, fork, {
+	for (const [place, {role, index}] of simulation.nodes.entries()) {
+		if (role === 'deep' && index < simulation.scenario.replacedTargets) {
+			simulation.nodes[place] = createNode(simulation, forkRandom, {
 				role,
 				index,
 				place,
@@ -151,23 +163,32 @@
 		}
 	}
 
-	announce(world);
+	publishCandidates(simulation);
 }
 
-function scheduleDemand(world: World, random: World['workRandom']): void {
-	const {scenario, deployment} = world;
+function scheduleDemand(
+	simulation: Simulation,
+	random: Simulation['workRandom'],
+): void {
+	const {scenario, deployment} = simulation;
 	const capacity = capacityOf(deployment);
-	const homes = world.nodes.map((_, place) => createHome(world, place));
-	const begin = scenario.calm;
-	const end = begin + scenario.trigger;
+	const homes = simulation.nodes.map((_, place) =>
+		createHome(simulation, place),
+	);
+	const begin = scenario.baselineDuration;
+	const end = begin + scenario.triggerDuration;
 	const spans = [
-		{demands: scenario.base, begin: 0, end: begin},
-		{demands: scenario.surge, begin, end},
-		{demands: scenario.base, begin: end, end: end + scenario.aftermath},
+		{demands: scenario.baselineDemand, begin: 0, end: begin},
+		{demands: scenario.triggerDemand, begin, end},
+		{
+			demands: scenario.baselineDemand,
+			begin: end,
+			end: end + scenario.recoveryDuration,
+		},
 	];
 	for (const span of spans) {
 		for (const demand of span.demands) {
-			startDemand(world, homes, demand, {
+			startDemand(simulation, homes, demand, {
 				begin: span.begin,
 				end: span.end,
 				rate: demand.load * capacity,
--- a/packages/experiment/src/scenario.ts
+++ b/packages/experiment/src/scenario.ts
@@ -30,26 +30,26 @@
 export type Scenario = {
 	name: ScenarioName;
 	/** Milliseconds of calm before the trigger. */
-	calm: number;
+	baselineDuration: number;
 	/** Milliseconds from the trigger's begin to its end. */
-	trigger: number;
+	triggerDuration: number;
 	/** Milliseconds that the run goes on after the trigger. */
-	aftermath: number;
+	recoveryDuration: number;
 	/** The demand before and after the trigger. */
-	base: Demand[];
+	baselineDemand: Demand[];
 	/** The demand during the trigger. */
-	surge: Demand[];
+	triggerDemand: Demand[];
 	/** How many of the deepest targets are replaced by cold ones when the trigger begins. */
-	replaced: number;
+	replacedTargets: number;
 	/** By how much the work of one of the deepest targets takes longer during the trigger. */
 	slowdown(target: number): number;
 };
 
 /** How much longer than a warm one a target takes for its first request. */
-export const coldFactor = 8;
+export const coldStartFactor = 8;
 
 /** After so many requests a cold target is warm; in between, its factor falls evenly. */
-export const warmAfter = 300;
+export const warmUpRequests = 300;
 
 /** Callers that each keep within an equal share. */
 const callers = Array.from({length: 40}, (_, index) => `caller-${index + 1}`);
@@ -57,62 +57,74 @@
 
 const ordinary = (load: number): Demand => ({load, operations, callers});
 
-const usual = {
-	calm: 5000,
-	trigger: 12_000,
-	aftermath: 33_000,
-	base: [ordinary(0.6)],
+const commonSettings = {
+	baselineDuration: 5000,
+	triggerDuration: 12_000,
+	recoveryDuration: 33_000,
+	baselineDemand: [ordinary(0.6)],
 	slowdown: () => 1,
-	replaced: 0,
+	replacedTargets: 0,
 };
 
 export const scenarios: Record<ScenarioName, Scenario> = {
-	burst: {...usual, name: 'burst', trigger: 5000, surge: [ordinary(4)]},
+	burst: {
+		...commonSettings,
+		name: 'burst',
+		triggerDuration: 5000,
+		triggerDemand: [ordinary(4)],
+	},
 	'heavy-callers': {
-		...usual,
+		...commonSettings,
 		name: 'heavy-callers',
-		base: [ordinary(0.5)],
-		surge: [ordinary(0.5), {load: 1.3, operations, callers: heavyCallers}],
+		baselineDemand: [ordinary(0.5)],
+		triggerDemand: [
+			ordinary(0.5),
+			{load: 1.3, operations, callers: heavyCallers},
+		],
 	},
 	'slow-target': {
-		...usual,
+		...commonSettings,
 		name: 'slow-target',
-		base: [ordinary(0.5)],
-		surge: [ordinary(0.5)],
+		baselineDemand: [ordinary(0.5)],
+		triggerDemand: [ordinary(0.5)],
 		slowdown: (target) => (target === 0 ? 10 : 1),
 	},
 	'long-among-short': {
-		...usual,
+		...commonSettings,
 		name: 'long-among-short',
-		surge: [
+		triggerDemand: [
 			ordinary(0.6),
 			{load: 1 / 8, operations: [{...longOperation, share: 1}], callers},
 		],
 	},
-	saturation: {...usual, name: 'saturation', surge: [ordinary(2)]},
+	saturation: {
+		...commonSettings,
+		name: 'saturation',
+		triggerDemand: [ordinary(2)],
+	},
 	'deep-slowdown': {
-		...usual,
+		...commonSettings,
 		name: 'deep-slowdown',
-		surge: [ordinary(0.9)],
+		triggerDemand: [ordinary(0.9)],
 		slowdown: () => 3,
 	},
 	'cold-start': {
-		...usual,
+		...commonSettings,
 		name: 'cold-start',
-		trigger: 10_000,
-		surge: [ordinary(0.6)],
-		replaced: 2,
+		triggerDuration: 10_000,
+		triggerDemand: [ordinary(0.6)],
+		replacedTargets: 2,
 	},
 	light: {
-		...usual,
+		...commonSettings,
 		name: 'light',
-		aftermath: 6000,
-		base: [ordinary(0.3)],
-		surge: [ordinary(0.3)],
+		recoveryDuration: 6000,
+		baselineDemand: [ordinary(0.3)],
+		triggerDemand: [ordinary(0.3)],
 	},
 };
 
 /** Whether a caller is one of the few that ask for more than their share. */
-export function isHeavy(caller: string): boolean {
+export function isHeavyCaller(caller: string): boolean {
 	return heavyCallers.includes(caller);
 }
--- a/packages/experiment/src/world.ts
+++ b/packages/experiment/src/simulation.ts
@@ -4,24 +4,24 @@
  * loses nor reorders on one connection.
  */
 import type {Random, VirtualClock} from '@egretspoke/shared';
-import type {Contender} from './contender.js';
+import type {PolicyVariant} from './policy-variant.js';
 import type {DeadlineWheel} from './deadline-wheel.js';
 import {
 	connectionCost,
-	withinDataCentre,
+	intraDataCentreDelay,
 	type Deployment,
 } from './deployment.js';
 import type {ModelNode} from './model-node.js';
-import {warmthFactor} from './capacity.js';
+import {warmUpFactor} from './capacity.js';
 import type {Scenario} from './scenario.js';
 import type {Tally} from './tally.js';
 
 /** Everything that one run consists of. */
-export type World = {
+export type Simulation = {
 	clock: VirtualClock;
 	deployment: Deployment;
 	scenario: Scenario;
-	contender: Contender;
+	variant: PolicyVariant;
 	tally: Tally;
 	/** The deadlines of attempts and tries. */
 	deadlines: DeadlineWheel;
@@ -37,7 +37,7 @@
 
 /** Milliseconds from one node to another, the cost of a first connection included. */
 export function delayBetween(
-	world: World,
+	simulation: Simulation,
 	from: ModelNode,
 	to: ModelNode,
 ): number {
@@ -47,39 +47,41 @@
 
 	const delay =
 		from.dataCentre === to.dataCentre
-			? withinDataCentre
-			: world.deployment.betweenDataCentres;
-	if (from.contacts.has(to)) {
+			? intraDataCentreDelay
+			: simulation.deployment.interDataCentreDelay;
+	if (from.connectedNodes.has(to)) {
 		return delay;
 	}
 
-	from.contacts.add(to);
-	to.contacts.add(from);
+	from.connectedNodes.add(to);
+	to.connectedNodes.add(from);
 	return delay + connectionCost;
 }
 
 /** Whether the trigger is on. */
-export function isTriggered({clock, scenario}: World): boolean {
-	const since = clock.now() - scenario.calm;
-	return since >= 0 && since < scenario.trigger;
+export function isTriggered({clock, scenario}: Simulation): boolean {
+	const since = clock.now() - scenario.baselineDuration;
+	return since >= 0 && since < scenario.triggerDuration;
 }
 
 /** By how much work takes longer at a node now. */
-export function slowdownAt(world: World, node: ModelNode): number {
+export function slowdownAt(simulation: Simulation, node: ModelNode): number {
 	if (node.role !== 'deep') {
 		return 1;
 	}
 
-	const slow = isTriggered(world) ? world.scenario.slowdown(node.index) : 1;
-	return slow * (node.startsCold ? warmthFactor(node.completed()) : 1);
+	const slow = isTriggered(simulation)
+		? simulation.scenario.slowdown(node.index)
+		: 1;
+	return slow * (node.startsCold ? warmUpFactor(node.completed()) : 1);
 }
 
 /** Spread of the work of one operation: the standard deviation of its logarithm. */
-const workSpread = 0.4;
+const workLogDeviation = 0.4;
 
 /** A duration drawn around its mean, log-normal. */
 export function drawWork(random: Random, mean: number): number {
 	const radius = Math.sqrt(-2 * Math.log(1 - random.fraction()));
 	const normal = radius * Math.cos(2 * Math.PI * random.fraction());
-	return mean * Math.exp(workSpread * normal - workSpread ** 2 / 2);
+	return mean * Math.exp(workLogDeviation * normal - workLogDeviation ** 2 / 2);
 }
--- a/packages/experiment/src/sweep.ts
+++ b/packages/experiment/src/sweep.ts
@@ -3,7 +3,7 @@
 import type {Figures} from './figures.js';
 
 /** The median and the worst over the seeds; undefined where a figure isn't known or never came about. */
-export type Spread = {
+export type SeedSummary = {
 	median: number | undefined;
 	worst: number | undefined;
 	/** The seed that gave the worst. */
@@ -11,17 +11,17 @@
 };
 
 /** Every figure of one policy over the seeds. */
-export type FigureSpreads = Record<keyof Figures, Spread>;
+export type FigureSummaries = Record<keyof Figures, SeedSummary>;
 
 /** What a sweep gives. */
 export type SweepResult = Omit<ExperimentSetup, 'seed' | 'policies'> & {
 	seeds: number[];
-	limitGoodput: Spread;
-	policies: Record<string, FigureSpreads>;
+	limitGoodput: SeedSummary;
+	policies: Record<string, FigureSummaries>;
 };
 
 /** Which end of each figure is the worse one. */
-const worse: Record<keyof Figures, 'lower' | 'higher'> = {
+const worseDirections: Record<keyof Figures, 'lower' | 'higher'> = {
 	goodput: 'lower',
 	goodputShare: 'lower',
 	essentialGoodput: 'lower',
@@ -51,7 +51,7 @@
 		scenario,
 		deployment,
 		seeds,
-		limitGoodput: spread(
+		limitGoodput: summarizeSeeds(
 			results.map(({limitGoodput}) => limitGoodput),
 			seeds,
 			'lower',
@@ -59,7 +59,7 @@
 		policies: Object.fromEntries(
 			setup.policies.map((name) => [
 				name,
-				spreadFigures(
+				summarizeFigures(
 					results.map(({policies}) => policies[name]!),
 					seeds,
 				),
@@ -68,34 +68,34 @@
 	};
 }
 
-function spreadFigures(rows: Figures[], seeds: number[]): FigureSpreads {
-	const names = Object.keys(worse) as Array<keyof Figures>;
+function summarizeFigures(rows: Figures[], seeds: number[]): FigureSummaries {
+	const names = Object.keys(worseDirections) as Array<keyof Figures>;
 	return Object.fromEntries(
 		names.map((name) => [
 			name,
-			spread(
+			summarizeSeeds(
 				rows.map((row) => row[name]),
 				seeds,
-				worse[name],
+				worseDirections[name],
 			),
 		]),
-	) as FigureSpreads;
+	) as FigureSummaries;
 }
 
 /**
  * The median and the worst. A figure that isn't there, such as a recovery
  * that never came, counts as the worst of all.
  */
-export function spread(
+export function summarizeSeeds(
 	values: Array<number | undefined>,
 	seeds: number[],
-	worseEnd: 'lower' | 'higher',
-): Spread {
-	const sign = worseEnd === 'higher' ? 1 : -1;
+	worseDirection: 'lower' | 'higher',
+): SeedSummary {
+	const sign = worseDirection === 'higher' ? 1 : -1;
 	const ranked = values
 		.map((value, index) => ({value, seed: seeds[index]!}))
 		.toSorted(
-			(left, right) => badness(left.value, sign) - badness(right.value, sign),
+			(left, right) => sortKey(left.value, sign) - sortKey(right.value, sign),
 		);
 	const lower = ranked[Math.floor((ranked.length - 1) / 2)]!.value;
 	const upper = ranked[Math.ceil((ranked.length - 1) / 2)]!.value;
@@ -107,6 +107,6 @@
 	return {median, worst: last.value, worstSeed: last.seed};
 }
 
-function badness(value: number | undefined, sign: number): number {
+function sortKey(value: number | undefined, sign: number): number {
 	return value === undefined ? Number.MAX_VALUE : value * sign;
 }
--- a/packages/experiment/src/tally.ts
+++ b/packages/experiment/src/tally.ts
@@ -5,7 +5,7 @@
  */
 import type {AttemptResult} from '@egretspoke/decisions';
 import type {Attempt, UserRequest} from './call.js';
-import type {Want} from './capacity.js';
+import type {UserArrival} from './capacity.js';
 
 /** A call to the deepest service as its caller saw it. */
 export type DeepCall = {
@@ -18,7 +18,7 @@
 /** The record of one run. */
 export type Tally = {
 	/** Every want that arose; the same for every policy. */
-	wants: Want[];
+	userArrivals: UserArrival[];
 	requests: UserRequest[];
 	deepCalls: DeepCall[];
 	/** Instants at which a call arrived at a node of the deepest service. */
@@ -27,43 +27,47 @@
 	notRunThatRan(): number;
 	/** Requests that may not be repeated and took effect more than once at a service. */
 	ranTwice(): number;
-	requestSent(request: UserRequest): void;
-	reachedDeepest(): void;
+	recordRequest(request: UserRequest): void;
+	recordDeepArrival(): void;
 	/** A target worked for a request, in milliseconds. */
-	worked(request: UserRequest, duration: number): void;
-	tookEffect(attempt: Attempt): void;
-	saidNotRun(attempt: Attempt): void;
-	attemptEnded(attempt: Attempt, index: number, result: AttemptResult): void;
+	recordWork(request: UserRequest, duration: number): void;
+	recordEffect(attempt: Attempt): void;
+	recordNotRun(attempt: Attempt): void;
+	recordAttemptEnd(
+		attempt: Attempt,
+		index: number,
+		result: AttemptResult,
+	): void;
 };
 
 /** Creates an empty record. */
 export function createTally(now: () => number): Tally {
-	const wants: Want[] = [];
+	const userArrivals: UserArrival[] = [];
 	const requests: UserRequest[] = [];
 	const deepCalls: DeepCall[] = [];
 	const deepArrivals: number[] = [];
-	const lies = new Set<Attempt>();
+	const falseNotRun = new Set<Attempt>();
 
 	return {
-		wants,
+		userArrivals,
 		requests,
 		deepCalls,
 		deepArrivals,
-		notRunThatRan: () => lies.size,
+		notRunThatRan: () => falseNotRun.size,
 		ranTwice: () =>
 			requests.filter(({effects}) =>
 				[...(effects?.values() ?? [])].some((count) => count > 1),
 			).length,
-		requestSent(request) {
+		recordRequest(request) {
 			requests.push(request);
 		},
-		reachedDeepest() {
+		recordDeepArrival() {
 			deepArrivals.push(now());
 		},
-		worked(request, duration) {
+		recordWork(request, duration) {
 			request.work += duration;
 		},
-		tookEffect(attempt) {
+		recordEffect(attempt) {
 			countEffect(attempt);
 			for (
 				let each: Attempt | undefined = attempt;
@@ -71,18 +75,18 @@
 				each = each.call.parent
 			) {
 				each.hasRun = true;
-				if (each.saidNotRun) {
-					lies.add(each);
+				if (each.reportedNotRun) {
+					falseNotRun.add(each);
 				}
 			}
 		},
-		saidNotRun(attempt) {
-			attempt.saidNotRun = true;
+		recordNotRun(attempt) {
+			attempt.reportedNotRun = true;
 			if (attempt.hasRun) {
-				lies.add(attempt);
+				falseNotRun.add(attempt);
 			}
 		},
-		attemptEnded(attempt, index, {result, duration}) {
+		recordAttemptEnd(attempt, index, {result, duration}) {
 			if (attempt.call.plan.role === 'deep' && result !== 'notRun') {
 				deepCalls.push({index, endedAt: now(), duration});
 			}
--- a/packages/experiment/src/users.ts
+++ b/packages/experiment/src/users.ts
@@ -19,29 +19,29 @@
 import type {Operation} from './deployment.js';
 import type {Home} from './home.js';
 import type {Demand} from './scenario.js';
-import type {World} from './world.js';
+import type {Simulation} from './simulation.js';
 
 /** Tries of one request, the first one included. */
 const clientTries = 3;
 
 /** How many times the wait for a try a request's deadline is away. */
-const deadlineTries = 3;
+const deadlineFactor = 3;
 
 /** How many times the wait for a try a user keeps a want up. */
-const patienceTries = 10;
+const abandonmentFactor = 10;
 
 /** Milliseconds that a user thinks before a new request: the least, and the span above it. */
-const thinkLeast = 2000;
-const thinkSpan = 2000;
+const minThinkTime = 2000;
+const thinkTimeSpread = 2000;
 
 /** The share of clients that honour Retry-After. */
-const honouringShare = 0.5;
+const honouringRatio = 0.5;
 
 /** A user with a want. */
 type User = {
 	operation: Operation;
 	caller: string;
-	honours: boolean;
+	honoursRetryAfter: boolean;
 	/** The node that the client speaks to. */
 	home: Home;
 	abandonsAt: number;
@@ -59,14 +59,14 @@
 
 /** Lets wants arise, as a Poisson process, until the run is over. */
 export function startDemand(
-	world: World,
+	simulation: Simulation,
 	homes: Home[],
 	demand: Demand,
 	span: DemandSpan,
 ): void {
-	const {clock} = world;
+	const {clock} = simulation;
 	const {begin, end, rate, random} = span;
-	const arise = () => {
+	const scheduleArrival = () => {
 		const wait = (-Math.log(1 - random.fraction()) * 1000) / rate;
 		const at = Math.max(clock.now(), begin) + wait;
 		if (at >= end) {
@@ -74,18 +74,21 @@
 		}
 
 		clock.setTimer(at - clock.now(), () => {
-			const user = createUser(world, homes, demand, random);
-			world.tally.wants.push({at: clock.now(), operation: user.operation});
-			press(world, user);
-			arise();
+			const user = createUser(simulation, homes, demand, random);
+			simulation.tally.userArrivals.push({
+				at: clock.now(),
+				operation: user.operation,
+			});
+			sendNewRequest(simulation, user);
+			scheduleArrival();
 		});
 	};
 
-	arise();
+	scheduleArrival();
 }
 
 function createUser(
-	world: World,
+	simulation: Simulation,
 	homes: Home[],
 	demand: Demand,
 	random: Random,
@@ -94,9 +97,10 @@
 	return {
 		operation,
 		caller: demand.callers[random.below(demand.callers.length)]!,
-		honours: random.fraction() < honouringShare,
+		honoursRetryAfter: random.fraction() < honouringRatio,
 		home: homes[random.below(homes.length)]!,
-		abandonsAt: world.clock.now() + patienceTries * operation.tryTimeout,
+		abandonsAt:
+			simulation.clock.now() + abandonmentFactor * operation.tryTimeout,
 		random: random.fork(),
 	};
 }
@@ -114,23 +118,23 @@
 }
 
 /** The user sends a new request. */
-function press(world: World, user: User): void {
-	const {clock, tally} = world;
+function sendNewRequest(simulation: Simulation, user: User): void {
+	const {clock, tally} = simulation;
 	const now = clock.now();
 	const request: UserRequest = {
 		operation: user.operation,
 		caller: user.caller,
 		sentAt: now,
-		deadline: now + deadlineTries * user.operation.tryTimeout,
+		deadline: now + deadlineFactor * user.operation.tryTimeout,
 		work: 0,
 	};
-	tally.requestSent(request);
-	sendRequest(world, user, request, (retryAfter) => {
-		const think = thinkLeast + user.random.fraction() * thinkSpan;
-		const wait = Math.max(think, user.honours ? retryAfter : 0);
+	tally.recordRequest(request);
+	sendRequest(simulation, user, request, (retryAfter) => {
+		const think = minThinkTime + user.random.fraction() * thinkTimeSpread;
+		const wait = Math.max(think, user.honoursRetryAfter ? retryAfter : 0);
 		if (clock.now() + wait < user.abandonsAt) {
 			clock.setTimer(wait, () => {
-				press(world, user);
+				sendNewRequest(simulation, user);
 			});
 		}
 	});
@@ -138,16 +142,16 @@
 
 /** Tries until an answer, the last try or the deadline; tells only of a failure. */
 function sendRequest(
-	world: World,
+	simulation: Simulation,
 	user: User,
 	request: UserRequest,
 	failed: (retryAfter: number) => void,
 ): void {
-	const {clock} = world;
+	const {clock} = simulation;
 	let tries = 0;
 
-	const tryAgain = (retryAfter: number) => {
-		const wait = user.honours ? retryAfter : 0;
+	const retryOrFail = (retryAfter: number) => {
+		const wait = user.honoursRetryAfter ? retryAfter : 0;
 		if (tries >= clientTries || clock.now() + wait >= request.deadline) {
 			failed(retryAfter);
 		} else {
@@ -157,11 +161,11 @@
 
 	const tryOnce = () => {
 		tries++;
-		sendTry(world, user.home, request, (end) => {
+		sendTry(simulation, user.home, request, (end) => {
 			if (end?.kind === 'answered') {
 				request.answeredAt = clock.now();
 			} else {
-				tryAgain(end?.retryAfter ?? 0);
+				retryOrFail(end?.retryAfter ?? 0);
 			}
 		});
 	};
@@ -171,37 +175,37 @@
 
 /** One try; its end is undefined when no answer came in time. */
 function sendTry(
-	world: World,
+	simulation: Simulation,
 	home: Home,
 	request: UserRequest,
 	done: (end: CallEnd | undefined) => void,
 ): void {
-	const {clock, deployment, tally} = world;
-	const {toClients} = deployment;
+	const {clock, deployment, tally} = simulation;
+	const {clientDelay} = deployment;
 	const {tryTimeout} = request.operation;
 	const timeLeft = Math.min(tryTimeout, request.deadline - clock.now());
-	let open = true;
+	let isOpen = true;
 	let leave: (() => void) | undefined;
 
 	const close = (end: CallEnd | undefined) => {
-		open = false;
+		isOpen = false;
 		timer.cancel();
 		done(end);
 	};
 
-	const timer = world.deadlines.set(clock.now() + timeLeft, () => {
+	const timer = simulation.deadlines.set(clock.now() + timeLeft, () => {
 		close(undefined);
-		clock.setTimer(toClients, () => leave?.());
+		clock.setTimer(clientDelay, () => leave?.());
 	});
-	clock.setTimer(toClients, () => {
-		const attempt = createClientAttempt(world, request, timeLeft);
+	clock.setTimer(clientDelay, () => {
+		const attempt = createClientAttempt(simulation, request, timeLeft);
 		leave = home.handle(attempt, (end) => {
 			if (end.kind === 'notRun') {
-				tally.saidNotRun(attempt);
+				tally.recordNotRun(attempt);
 			}
 
-			clock.setTimer(toClients, () => {
-				if (open) {
+			clock.setTimer(clientDelay, () => {
+				if (isOpen) {
 					close(end);
 				}
 			});
@@ -211,24 +215,24 @@
 
 /** The client's try as the root of all attempts that are made for it. */
 function createClientAttempt(
-	world: World,
+	simulation: Simulation,
 	request: UserRequest,
 	timeLeft: number,
 ): Attempt {
-	const {clock, contender, deployment} = world;
+	const {clock, variant, deployment} = simulation;
 	const {operation, caller} = request;
 	const {plan, requestClass, idempotent} = operation;
 	const deadline = clock.now() + timeLeft;
 	const service = deployment.services[plan.role].name;
-	const chain = world.nextId();
+	const chain = simulation.nextId();
 	return {
 		call: {
 			request,
 			plan,
 			service,
 			chain,
-			deadline: contender.callDeadline(deadline),
-			attempts: contender.attempts,
+			deadline: variant.callDeadline(deadline),
+			attempts: variant.attempts,
 		},
 		facts: {
 			id: chain,
@@ -237,11 +241,11 @@
 			caller,
 			operation: plan.operation,
 			deadline,
-			attempts: contender.attempts,
+			attempts: variant.attempts,
 			idempotent,
 		},
 		node: '',
 		hasRun: false,
-		saidNotRun: false,
+		reportedNotRun: false,
 	};
 }
