--- a/packages/experiment/__tests__/capacity.spec.ts
+++ b/packages/experiment/__tests__/capacity.spec.ts
@@ -13,7 +13,7 @@
 	type UserArrival,
 } from '../src/index.js';
 
-/** Wants at an even rate a second during a trigger. */
+/** User arrivals at a constant rate per second during the trigger. */
 function arrivalsAt(
 	scenario: Scenario,
 	rate: number,
--- a/packages/experiment/__tests__/chain-model.spec.ts
+++ b/packages/experiment/__tests__/chain-model.spec.ts
@@ -31,7 +31,7 @@
 	},
 ];
 
-/** Usual load, then 1.8 times what fits from the first second to the eleventh, then usual load. */
+/** 1.8 times the capacity from the first second to the eleventh, 0.7 times the capacity otherwise. */
 const demandAt = (now: number) => (now > 1000 && now < 11_000 ? 1.8 : 0.7);
 
 function simulate(reportDelay: number, targets: number): ChainSecond[] {
@@ -50,9 +50,10 @@
 	values.reduce((sum, value) => sum + value, 0);
 
 describe('a deep service with 1.8 times what it can run', () => {
-	// The entries hear of the overload late, and what they let in arrives late.
-	// With a level that follows the wait, everything is refused and let in by
-	// turns, and of the requests that are let in most fail half way.
+	// Entry nodes receive the shed level late, and the requests that they admit
+	// arrive late at the targets. A level that follows the queue time oscillates
+	// between refusing and admitting everything, and most of the admitted requests
+	// fail before they complete.
 	for (const reportDelay of [20, 200, 800]) {
 		for (const targets of [3, 14, 50]) {
 			describe(`at ${targets} targets, told of after ${reportDelay} ms`, () => {
--- a/packages/experiment/__tests__/experiment.spec.ts
+++ b/packages/experiment/__tests__/experiment.spec.ts
@@ -17,7 +17,7 @@
 
 const {fieldline} = deployments;
 
-/** Fieldline with a quarter of its slots and connections, for the loads that storm. */
+/** Fieldline with a quarter of its slots and connections, for loads with retry storms. */
 const small: Deployment = {
 	...fieldline,
 	services: {
@@ -75,9 +75,9 @@
 	}
 
 	it('shows a collapse of the naive policy that outlasts its cause', () => {
-		// The deepest service slows down while demand rises; every layer and every
-		// client tries again. After the cause has gone the queues are still full of
-		// requests whose callers have left, and the users see nothing but timeouts.
+		// The deepest service slows down while demand rises, and every layer and
+		// every client retries. After the trigger the queues are still full of
+		// requests whose callers have gone, so that almost every request times out.
 		const figures = runOnce(
 			'naive',
 			{
--- a/packages/experiment/__tests__/tally.spec.ts
+++ b/packages/experiment/__tests__/tally.spec.ts
@@ -38,9 +38,9 @@
 describe('the checkers', () => {
 	describe('of "not run"', () => {
 		it('catch an attempt that runs after it was said not to', () => {
-			// A target takes a request from its queue just as its node refuses it for
-			// having waited too long. The boat owner reads that nothing was paid, pays
-			// again, and has paid twice.
+			// A target starts a queued request while its node refuses it because of a
+			// queue timeout. The client receives that the payment did not run, pays
+			// again, and pays twice.
 			const tally = createTally(() => 0);
 			const attempt = createAttempt(createRequest());
 			tally.recordNotRun(attempt);
@@ -50,8 +50,8 @@
 		});
 
 		it('catch an attempt whose deeper call had run', () => {
-			// A service gives up after its deeper call has gone through, and says that
-			// nothing was run. What the caller sees in the deeper service contradicts it.
+			// A service gives up after its downstream call has run, and reports that
+			// nothing has run. The state of the downstream service contradicts it.
 			const tally = createTally(() => 0);
 			const request = createRequest();
 			const above = createAttempt(request);
@@ -71,8 +71,8 @@
 
 	describe('of "at most once"', () => {
 		it('catch two attempts of one booking that both run', () => {
-			// A client that waited in vain sends its booking again while the first
-			// attempt is still running. The supervisor sees one interviewer twice.
+			// A client sends its booking again after a timeout while the first attempt
+			// is still running, so that the interviewer is booked twice.
 			const tally = createTally(() => 0);
 			const request = createRequest();
 			tally.recordRequest(request);
--- a/packages/experiment/src/call.ts
+++ b/packages/experiment/src/call.ts
@@ -1,4 +1,4 @@
-/** What travels along the path: a user's request, the calls made for it, their ends. */
+/** Types of simulated traffic: user requests, the calls made for them, and their outcomes. */
 import type {CallFacts, RefusalDecision} from '@egretspoke/decisions';
 import type {ErrorCode} from '@egretspoke/protocol';
 import type {CallPlan, Operation} from './deployment.js';
@@ -8,29 +8,29 @@
 	operation: Operation;
 	caller: string;
 	sentAt: number;
-	/** When its answer is no longer of use. */
+	/** Instant after which an answer no longer counts. */
 	deadline: number;
 	answeredAt?: number;
-	/** Milliseconds that targets have worked for it. */
+	/** Milliseconds of work that targets have done for it. */
 	work: number;
-	/** How often it has taken effect, by service; counted only if it may not be repeated. */
+	/** Number of times it took effect, by service; counted only for non-idempotent operations. */
 	effects?: Map<string, number>;
 };
 
-/** A call as the entry node gets it. */
+/** A call as its entry node receives it. */
 export type Call = {
 	request: UserRequest;
 	plan: CallPlan;
 	service: string;
-	/** When the caller gives up; without end where deadlines aren't passed on. */
+	/** Instant at which the caller gives up; infinite if deadlines are not propagated. */
 	deadline: number;
 	/** Attempts left for the whole chain. */
 	attempts: number;
-	/** The client's try, as named along the whole chain. */
+	/** Identifier of the client's try, shared by the whole chain. */
 	chain: string;
-	/** The priority number of the chain, once an admission has given one. */
+	/** Priority number of the chain, once an admission has assigned one. */
 	priority?: number;
-	/** The attempt on whose behalf a target calls deeper. */
+	/** The upstream attempt for which a target makes this call. */
 	parent?: Attempt;
 };
 
@@ -39,7 +39,7 @@
 	call: Call;
 	facts: CallFacts;
 	node: string;
-	/** It, or a call made for it, has taken effect. */
+	/** Whether it, or a call made for it, has taken effect. */
 	hasRun: boolean;
 	reportedNotRun: boolean;
 };
@@ -47,12 +47,12 @@
 /** How a call or an attempt ended. */
 export type CallEnd =
 	| {kind: 'answered'}
-	/** Definite: nothing has taken effect. */
+	/** Certain: nothing has taken effect. */
 	| {kind: 'notRun'; code: ErrorCode; retryAfter: number}
-	/** An error answer, a lost answer or a passed deadline. */
+	/** An error answer, a lost answer or an expired deadline. */
 	| {kind: 'unknown'; code: ErrorCode; retryAfter: number};
 
-/** A refusal as the end of a call. */
+/** Converts a refusal to the end of a call. */
 export function createRefusedEnd({code, retryAfter}: RefusalDecision): CallEnd {
 	return {kind: 'notRun', code, retryAfter};
 }
--- a/packages/experiment/src/capacity.ts
+++ b/packages/experiment/src/capacity.ts
@@ -1,18 +1,17 @@
 /**
- * `limitGoodput`: the most whole requests a second that the capacity allows
- * during the overload. It is computed, not measured, from slots, mean service
- * times and the wants that arose, as a flow in small steps:
+ * Computes `limitGoodput`: the maximum number of requests per second that the
+ * capacity allows during the overload. It is calculated as a flow in small
+ * steps from slots, mean service times and the user arrivals:
  *
- * - The slots give `slots` milliseconds of work a millisecond and target. The
- *   deepest service's slots divide by its slowdown; a cold target's factor
- *   falls with what it has run, taken as running at full slots.
- * - A want that isn't served in its step waits for the next one; none is lost,
- *   so the limit can only be too high, never too low.
- * - Each step serves the cheapest operations first, which gives the highest
- *   count of requests.
- * - A service above the deepest bounds the rate by its slots over the time for
- *   which a request holds one: its own work and, without any queue, the calls
- *   below it.
+ * - Each target does `slots` milliseconds of work per millisecond. At the
+ *   deepest service this is divided by the slowdown; the factor of a cold
+ *   target decreases with the requests it has run, assuming full slots.
+ * - A user who is not served in one step waits for the next; none is lost, so
+ *   that the limit can only be too high, never too low.
+ * - Each step serves the cheapest operations first, which maximizes the count.
+ * - A service above the deepest limits the rate to its slots divided by the time
+ *   for which a request holds one: its work plus its downstream calls, without
+ *   queueing.
  */
 import {
 	capacityOf,
@@ -24,17 +23,17 @@
 } from './deployment.js';
 import {coldStartFactor, warmUpRequests, type Scenario} from './scenario.js';
 
-/** Milliseconds of one step of the flow. */
+/** Length of one step of the flow in milliseconds. */
 const step = 10;
 
-/** A want, as far as the limit is concerned. */
+/** The arrival of a user who needs one operation. */
 export type UserArrival = {
-	/** When it arose, in milliseconds of the run. */
+	/** Milliseconds since the start of the run. */
 	at: number;
 	operation: Operation;
 };
 
-/** The limit for a scenario and the wants of one run, in whole requests a second. */
+/** Computes the limit for a scenario and the user arrivals of one run, in requests per second. */
 export function computeLimit(
 	deployment: Deployment,
 	scenario: Scenario,
@@ -58,7 +57,7 @@
 	return Math.min(rate, computeUpstreamBound(deployment, scenario));
 }
 
-/** Milliseconds for which an operation holds a slot of a service, no queue anywhere. */
+/** Time for which an operation holds a slot of a service without queueing, in milliseconds. */
 export function holdingTime(
 	plan: CallPlan,
 	role: ServiceRole,
@@ -83,7 +82,7 @@
 	);
 }
 
-/** The wants of one cost, in the order in which they arose. */
+/** Queue of the arrivals whose operations have the same cost, oldest first. */
 function createBacklog(cost: number, instants: number[]) {
 	let waiting = 0;
 	let next = 0;
@@ -102,7 +101,7 @@
 	};
 }
 
-/** The wants that arise during the trigger by what they cost the deepest service, the cheapest first. */
+/** Groups the arrivals during the trigger by their cost at the deepest service, cheapest first. */
 function createBacklogs(scenario: Scenario, userArrivals: UserArrival[]) {
 	const end = scenario.baselineDuration + scenario.triggerDuration;
 	const byCost = new Map<number, number[]>();
@@ -120,7 +119,7 @@
 		.map(([cost, instants]) => createBacklog(cost, instants));
 }
 
-/** The work, in healthy milliseconds, that the deepest slots do in each next step. */
+/** Returns a function that computes the work done by the deepest slots in the next step, in milliseconds of a healthy target. */
 function createDeepCapacity({services}: Deployment, scenario: Scenario) {
 	const {targets, slots} = services.deep;
 	const run = Array.from({length: targets}, (_, target) =>
@@ -140,13 +139,13 @@
 	};
 }
 
-/** How much longer a target takes that has run so many requests since it was started. */
+/** Factor on the work duration of a target that has run this number of requests since its start. */
 export function warmUpFactor(run: number): number {
 	const left = Math.max(0, 1 - run / warmUpRequests);
 	return 1 + (coldStartFactor - 1) * left;
 }
 
-/** The rate that the services above the deepest allow, in requests a second. */
+/** Maximum rate that the services above the deepest allow, in requests per second. */
 function computeUpstreamBound(
 	{services}: Deployment,
 	scenario: Scenario,
--- a/packages/experiment/src/chain/chain-model.ts
+++ b/packages/experiment/src/chain/chain-model.ts
@@ -1,12 +1,13 @@
 /**
- * A model of overload at the end of a call graph, on a virtual clock and without
- * a network: callers ask at entries, each request makes its calls to one deep
- * service in a row, and the targets' nodes there tell the entries a shed level.
+ * Simulates overload of the last service of a call graph, on a virtual clock and
+ * without a network: callers send requests to entry nodes, each request makes
+ * sequential calls to one deep service, and its nodes report a shed level to
+ * the entry nodes.
  *
- * Load pattern: demand above what the deep service can run, for seconds. It
- * shows whether the level settles, how much of what is run ends whole, and how
- * soon everybody is let in again. The gate, the level and the order are those
- * that nodes run.
+ * Load pattern: demand above the capacity of the deep service for seconds. The
+ * model shows whether the level settles, how many of the admitted requests
+ * complete, and how soon all requests are admitted again. Target admission, the
+ * shed level and the shedding order are those of the nodes.
  */
 import {
 	createGate,
@@ -24,40 +25,40 @@
 	type VirtualClock,
 } from '@egretspoke/shared';
 
-/** A kind of request that callers make. */
+/** A kind of request. */
 export type RequestKind = {
 	kind: string;
 	/** 0 is the highest. */
 	priority: number;
-	/** Its part of the requests. */
+	/** Relative frequency. */
 	share: number;
-	/** Calls to the deep service, one after the other. */
+	/** Sequential calls to the deep service. */
 	calls: number;
-	/** Milliseconds of a slot that each call takes, at a target of usual speed. */
+	/** Slot time of each call at a target of speed 1, in milliseconds. */
 	work: number;
-	/** Milliseconds before the first call, and between two. */
+	/** Milliseconds before the first call, and between two calls. */
 	before: number;
 	between: number;
 };
 
-/** What is played. */
+/** The simulated load and deployment. */
 export type ChainScenario = {
 	kinds: RequestKind[];
-	/** Targets of the deep service; they differ in speed by three. */
+	/** Number of targets of the deep service; their speeds differ by a factor of up to three. */
 	targets: number;
 	slots: number;
-	/** Milliseconds until entries hear of a level. */
+	/** Delay of level reports to the entry nodes, in milliseconds. */
 	reportDelay: number;
-	/** The demand at an instant, over what the targets can run. */
+	/** Demand at an instant, relative to the capacity of the targets. */
 	demandAt: (now: number) => number;
 	/** Milliseconds. */
 	duration: number;
 	seed: number;
 };
 
-/** What became of the requests that came in one second. */
+/** Outcomes of the requests that arrived in one second. */
 export type ChainSecond = {
-	/** Work of requests that ended whole, over what the targets can run. */
+	/** Work of completed requests, relative to the capacity of the targets. */
 	goodput: number;
 	refused: number;
 	failed: number;
@@ -76,14 +77,14 @@
 	onEnd: (isSuccessful: boolean) => void;
 };
 
-/** The speeds of targets, by turns. */
+/** Speeds of the targets, assigned cyclically. */
 const speeds = [0.5, 1, 1, 1.5];
-/** Milliseconds that a call may wait, and a request may take. */
+/** Maximum queue time of a call and maximum duration of a request, in milliseconds. */
 const maxWait = 180;
 const requestTimeout = 1500;
 const millisecondsPerSecond = 1000;
 
-/** Plays a scenario; gives what became of each second's requests. */
+/** Simulates a scenario; returns the outcomes by second of arrival. */
 export function simulateChain(scenario: ChainScenario): ChainSecond[] {
 	const clock = createVirtualClock();
 	const random = createRandom(scenario.seed);
@@ -101,7 +102,7 @@
 			cost: calls * work,
 		})),
 	);
-	/** The mean level, as the entries know it. */
+	/** The mean level last reported to the entry nodes. */
 	let reportedLevel = 0;
 
 	const getSecond = (at: number): ChainSecond => {
@@ -191,7 +192,7 @@
 	}));
 }
 
-/** Milliseconds of slots that a request takes, over all kinds. */
+/** Mean slot time of a request over all kinds, in milliseconds. */
 function meanWork(kinds: RequestKind[]): number {
 	let work = 0;
 	let total = 0;
@@ -203,7 +204,7 @@
 	return work / total;
 }
 
-/** The less occupied of two targets that are drawn gets the call. */
+/** Offers a call to the less occupied of two random targets. */
 function offer(
 	clock: VirtualClock,
 	random: Random,
--- a/packages/experiment/src/deadline-wheel.ts
+++ b/packages/experiment/src/deadline-wheel.ts
@@ -1,21 +1,21 @@
 /**
- * Deadlines of attempts, by the bucket. Nearly all of them are taken back
- * before they are due; as timers of the clock they would stay in its heap
- * until then, and the run would spend its time on sorting them.
+ * Timers for the deadlines of attempts, grouped in buckets. Nearly all of them
+ * are cancelled before they expire; as timers of the clock they would stay in
+ * its heap until then, and sorting them would dominate the run time.
  */
 import type {Clock, Timer} from '@egretspoke/shared';
 
-/** Milliseconds of one bucket: an attempt is given up at most so much late. */
+/** Width of a bucket in milliseconds; a deadline fires late by at most this much. */
 const bucketSize = 2;
 
-/** Sets deadlines that are kept to within two milliseconds, never early. */
+/** Sets timers that fire at most two milliseconds late, never early. */
 export type DeadlineWheel = {
 	set(at: number, callback: () => void): Timer;
 };
 
 type Entry = {callback: () => void};
 
-/** Creates a wheel without deadlines. */
+/** Creates an empty wheel. */
 export function createDeadlineWheel(clock: Clock): DeadlineWheel {
 	const buckets = new Map<number, Set<Entry>>();
 
--- a/packages/experiment/src/deployment.ts
+++ b/packages/experiment/src/deployment.ts
@@ -1,12 +1,12 @@
 /**
- * The two deployments of today: their services, targets, slots, connections,
- * data centres and one-way delays, and the operations that their users ask
- * for. The sizes are the brief's; the service times and the mix of operations
- * are assumptions, stated here and in docs/EXPERIMENT.md.
+ * The two simulated deployments: services, targets, slots, connections, data
+ * centres and one-way delays, and the operations that users request. The sizes
+ * come from the brief; the service times and the mix of operations are
+ * assumptions, stated here and in docs/EXPERIMENT.md.
  */
 import type {RequestClass} from '@egretspoke/protocol';
 
-/** The part that a service plays in the call graph, the same in both deployments. */
+/** Position of a service in the call graph, the same in both deployments. */
 export const serviceRoles = ['front', 'middle', 'side', 'deep'] as const;
 export type ServiceRole = (typeof serviceRoles)[number];
 
@@ -14,36 +14,36 @@
 export type ServiceSize = {
 	name: string;
 	targets: number;
-	/** Requests that one target runs at once. */
+	/** Requests that one target runs concurrently. */
 	slots: number;
 	/** Connections that one target accepts. */
 	connections: number;
 };
 
-/** One call in the plan of an operation, with the calls that it makes in parallel. */
+/** One call in the plan of an operation, with its parallel downstream calls. */
 export type CallPlan = {
 	role: ServiceRole;
-	/** Its name at that service; not the name of what the user asked for. */
+	/** Operation name at that service; differs from the name of the user's operation. */
 	operation: string;
-	/** Milliseconds of work before the deeper calls, on average; all there is in a leaf. */
+	/** Mean milliseconds of work before the downstream calls; all the work of a leaf. */
 	before: number;
-	/** Milliseconds of work after the deeper calls. */
+	/** Mean milliseconds of work after the downstream calls. */
 	after: number;
 	downstreamCalls: CallPlan[];
 };
 
-/** What a user can ask for. Each operation needs exactly one call to the deepest service. */
+/** An operation that users request. Each needs exactly one call to the deepest service. */
 export type Operation = {
 	requestClass: RequestClass;
 	idempotent: boolean;
-	/** Its share of the demand. */
+	/** Fraction of the demand. */
 	share: number;
-	/** Milliseconds after which whoever waits for a try of it gives that try up. */
+	/** Timeout of one try in milliseconds. */
 	tryTimeout: number;
 	plan: CallPlan;
 };
 
-/** The names under which a deployment can be asked for. */
+/** Values of `--deployment`. */
 export const deploymentNames = ['fieldline', 'akwaaba'] as const;
 export type DeploymentName = (typeof deploymentNames)[number];
 
@@ -60,13 +60,13 @@
 /** One-way milliseconds between two VMs of one data centre (assumed). */
 export const intraDataCentreDelay = 0.1;
 
-/** Milliseconds that a new connection costs. */
+/** Milliseconds that it takes to open a connection. */
 export const connectionCost = 1;
 
-/** Mean milliseconds of the deepest service's work (assumed). */
+/** Mean milliseconds of work per request at the deepest service (assumed). */
 export const meanDeepWork = 100;
 
-/** How much longer than an ordinary one a long operation keeps the deepest service. */
+/** Work of a long operation at the deepest service, relative to an ordinary one. */
 export const longFactor = 8;
 
 export const deployments: Record<DeploymentName, Deployment> = {
@@ -118,10 +118,10 @@
 	downstreamCalls: [],
 };
 
-/** Milliseconds that a client waits for the answer to a try of an ordinary operation. */
+/** Client timeout of one try of an ordinary operation, in milliseconds. */
 const ordinaryTimeout = 1000;
 
-/** The ordinary mix. */
+/** The mix of ordinary operations. */
 export const operations: Operation[] = [
 	{
 		requestClass: 'essential',
@@ -190,7 +190,7 @@
 	before: meanDeepWork * longFactor,
 };
 
-/** Long work: the same chain, with a deepest call that takes `longFactor` times as long. */
+/** A long operation: the same chain, with a deepest call that takes `longFactor` times as long. */
 export const longOperation: Operation = {
 	requestClass: 'deferrable',
 	idempotent: true,
@@ -207,7 +207,7 @@
 	},
 };
 
-/** Requests a second that the deepest service can run when it is healthy. */
+/** Capacity of the healthy deepest service in requests per second. */
 export function capacityOf({services}: Deployment): number {
 	const {targets, slots} = services.deep;
 	return (targets * slots * 1000) / meanDeepWork;
--- a/packages/experiment/src/entry.ts
+++ b/packages/experiment/src/entry.ts
@@ -1,7 +1,7 @@
 /**
- * The entry node's side of the path: choose a target, send, wait for the
- * answer or the deadline, ask whether to try again. Naive or ours, every call
- * of every layer goes through here.
+ * The entry node's part of the request path: choose a target, send the attempt,
+ * wait for the answer or the deadline, and decide on a retry. Calls of all
+ * layers and all policy variants use this code.
  */
 import {ErrorCode, type LoadReport} from '@egretspoke/protocol';
 import type {AttemptResult, CallFacts} from '@egretspoke/decisions';
@@ -14,7 +14,7 @@
 import type {ModelNode} from './model-node.js';
 import {delayBetween, type Simulation} from './simulation.js';
 
-/** Takes a call in at a node; the returned function tells that its caller has gone. */
+/** Routes a call from its entry node; the returned function reports that the caller has gone. */
 export function routeCall(
 	simulation: Simulation,
 	node: ModelNode,
@@ -123,7 +123,7 @@
 	return facts;
 }
 
-/** Sends one attempt; the returned function gives it up because the caller has gone. */
+/** Sends one attempt; the returned function cancels it when the caller has gone. */
 function send(
 	simulation: Simulation,
 	from: ModelNode,
@@ -214,11 +214,11 @@
 	return end.kind === 'answered' ? 'ok' : end.kind;
 }
 
-/** Of so many reports, one is about a second old, or simply wrong. */
+/** Fractions of load reports that are about one second old, or wrong. */
 const staleReportRatio = 0.05;
 const wrongReportRatio = 0.01;
 
-/** Some reports are late, and some claim an idle or a hopeless target. */
+/** Replaces some reports by stale ones or by those of an idle or a severely overloaded target. */
 function distortReport(
 	simulation: Simulation,
 	to: ModelNode,
--- a/packages/experiment/src/execution.ts
+++ b/packages/experiment/src/execution.ts
@@ -1,9 +1,10 @@
 /**
- * What an ordinary target does with one request: some work, its calls deeper
- * in parallel, some more work, the answer. It takes effect when a leaf begins
- * or when the work after the deeper calls begins. A target whose deeper call
- * is refused certifies that it did not run the request if nothing has taken
- * effect and no other deeper call is under way; else its answer is an error.
+ * Execution of one request at a simulated target: work, parallel downstream
+ * calls, more work, the answer. A request takes effect when the work of a leaf
+ * begins or when the work after the downstream calls begins. If a downstream
+ * call is refused, the target certifies that it did not run the request,
+ * provided that nothing has taken effect and no other downstream call is
+ * pending; otherwise it answers with an error.
  */
 import {ErrorCode} from '@egretspoke/protocol';
 import {
@@ -19,23 +20,23 @@
 import type {ModelNode} from './model-node.js';
 import {drawWork, slowdownAt, type Simulation} from './simulation.js';
 
-/** One request at its target. */
+/** The execution of one request at its target. */
 export type Execution = TargetRequest & {
-	/** The caller has gone: stops the work, gives the slot back, cancels below. */
+	/** Stops the work, releases the slot and cancels the downstream calls when the caller has gone. */
 	cancel(): void;
 };
 
-/** Where an execution belongs. */
+/** The node that runs an execution. */
 export type ExecutionHost = {
 	node: ModelNode;
-	/** The call as this node knows it. */
+	/** The facts of the call at this node. */
 	facts: CallFacts;
 	release(targetRequest: TargetRequest): void;
-	/** The end, with what the caller is told; nothing after a cancellation. */
+	/** Called at the end, with the end of the call for the caller; without one after a cancellation. */
 	end(result: Completion['result'], callEnd?: CallEnd): void;
 };
 
-/** A deeper call under way. */
+/** A pending downstream call. */
 type PendingCall = {cancel?: () => void};
 
 /** Creates an execution that waits for its slot. */
--- a/packages/experiment/src/experiment.ts
+++ b/packages/experiment/src/experiment.ts
@@ -1,4 +1,4 @@
-/** One experiment: the same seeded load through each policy. */
+/** Runs the same seeded load through each policy. */
 import {computeLimit} from './capacity.js';
 import {findVariant} from './policy-variant.js';
 import {deployments, type DeploymentName} from './deployment.js';
@@ -6,7 +6,7 @@
 import {runVariant} from './run.js';
 import {scenarios, type ScenarioName} from './scenario.js';
 
-/** What is run. */
+/** Input of an experiment. */
 export type ExperimentSetup = {
 	scenario: ScenarioName;
 	deployment: DeploymentName;
@@ -14,7 +14,7 @@
 	policies: string[];
 };
 
-/** What is printed: the limit, then the figures of each policy under its name. */
+/** The printed result: the limit, then the figures by policy name. */
 export type ExperimentResult = {
 	scenario: ScenarioName;
 	seed: number;
@@ -23,10 +23,10 @@
 	policies: Record<string, Figures>;
 };
 
-/** A point of the picture of goodput over time. */
+/** A point of the chart of goodput over time. */
 export type GoodputPoint = {policy: string; second: number; goodput: number};
 
-/** Runs every policy of the setup; each sees each point of its goodput handed on. */
+/** Runs every policy of the setup; `observe` receives their goodput over time. */
 export function runExperiment(
 	setup: ExperimentSetup,
 	observe?: (point: GoodputPoint) => void,
@@ -61,12 +61,12 @@
 	};
 }
 
-/** What is known by policy is printed beside the rest, under the policy's name. */
+/** A result whose entries by policy are printed at the top level, under the policy's name. */
 type PrintableResult = Record<string, unknown> & {
 	policies: Record<string, unknown>;
 };
 
-/** The result as the one JSON object of the command; what isn't known is null. */
+/** Formats the result as one JSON object; undefined values become null. */
 export function formatResult({policies, ...rest}: PrintableResult): string {
 	return JSON.stringify({...rest, ...policies}, (_key, value: unknown) =>
 		value === undefined ? null : value,
--- a/packages/experiment/src/fake-target.ts
+++ b/packages/experiment/src/fake-target.ts
@@ -1,24 +1,24 @@
 /**
- * A target of N slots. A request takes a connection as long as it is there and
- * a slot from its start to its end, also while it waits for calls of its own;
- * requests without a slot wait first in, first out. A request for which no
- * connection is left is refused before anything has run.
+ * A simulated target with N slots. A request occupies a connection from arrival
+ * to end, and a slot from its start to its end, including the time in which it
+ * waits for downstream calls. Requests without a slot are queued first in,
+ * first out. A request that finds no free connection is refused before it runs.
  */
 
 /** A request at the target. */
 export type TargetRequest = {
-	/** Called when the job has its slot. */
+	/** Called when a slot is assigned. */
 	start(): void;
 };
 
 export type FakeTarget = {
-	/** Takes the job in; false when no connection is left. */
+	/** Accepts or queues a request; returns false if no connection is free. */
 	offer(targetRequest: TargetRequest): boolean;
-	/** The job has ended or was cancelled, running or not; harmless when repeated. */
+	/** Removes an ended or cancelled request, running or waiting; idempotent. */
 	release(targetRequest: TargetRequest): void;
-	/** Connections open now or before: a job that needs a further one pays for it. */
+	/** Whether another request needs a new connection; connections opened before are reused. */
 	needsConnection(): boolean;
-	/** How many jobs have ended with a slot. */
+	/** Number of requests that ended after they had a slot. */
 	completed(): number;
 };
 
--- a/packages/experiment/src/figures.ts
+++ b/packages/experiment/src/figures.ts
@@ -1,45 +1,45 @@
-/** The figures of one run, from what was counted. */
+/** Computes the figures of one run from its tally. */
 import type {UserRequest} from './call.js';
 import {isHeavyCaller, type Scenario} from './scenario.js';
 import type {Tally} from './tally.js';
 
-/** What the command prints for each side. */
+/** The printed figures of one policy variant. */
 export type Figures = {
-	/** Whole requests answered within their deadline, a second, during the overload. */
+	/** Requests answered within their deadline per second, during the overload. */
 	goodput: number;
-	/** The same, as a share of the limit. */
+	/** Goodput as a fraction of the limit. */
 	goodputShare: number;
-	/** Share of the essential requests offered during the overload that were answered in time. */
+	/** Fraction of the essential requests offered during the overload that were answered in time. */
 	essentialGoodput: number;
-	/** Seconds from the trigger's end until goodput is back; undefined if it never is. */
+	/** Seconds from the end of the trigger until goodput has recovered; undefined if it never does. */
 	recoverySeconds: number | undefined;
-	/** Calls arriving at the deepest service for each request offered, during the overload. */
+	/** Calls arriving at the deepest service per offered request, during the overload. */
 	amplification: number;
-	/** Attempts of the whole run that were said not to have run and had. */
+	/** Attempts of the whole run that were reported as not run but ran. */
 	notRunThatRan: number;
-	/** Requests of the whole run that took effect twice and must not. */
+	/** Non-idempotent requests of the whole run that took effect more than once. */
 	ranTwice: number;
-	/** Share of the targets' work, for requests offered during the overload, spent on those that failed. */
+	/** Fraction of the targets' work on requests offered during the overload that was spent on failed ones. */
 	wastedWork: number;
-	/** Requests offered a second during the overload, repeated ones of one user included. */
+	/** Requests offered per second during the overload, including repeated ones of one user. */
 	offered: number;
 	/** Goodput before the trigger. */
 	goodputBefore: number;
-	/** Goodput of the last ten seconds of the run. */
+	/** Goodput in the last ten seconds of the run. */
 	goodputAtEnd: number;
-	/** Share of requests answered, of the callers within their share and of the heavy ones. */
+	/** Fractions of answered requests of callers within their fair share, and of heavy callers. */
 	answeredWithinShare: number;
 	answeredOverShare: number | undefined;
-	/** 99th percentile of the calls to the deepest service in milliseconds, of all and of the healthy targets. */
+	/** 99th percentile of the duration of calls to the deepest service in milliseconds, for all and for healthy targets. */
 	deepTime99: number | undefined;
 	deepTime99Healthy: number | undefined;
-	/** The first of the two over the second. */
+	/** `deepTime99` divided by `deepTime99Healthy`. */
 	deepTimeRatio: number | undefined;
 };
 
 type Span = {begin: number; end: number};
 
-/** Works the figures out. */
+/** Computes the figures. */
 export function computeFigures(
 	tally: Tally,
 	scenario: Scenario,
@@ -90,7 +90,7 @@
 	};
 }
 
-/** Goodput in each half second of the run, in requests a second. */
+/** Goodput in each half second of the run, in requests per second. */
 export function goodputOverTime(
 	tally: Tally,
 	scenario: Scenario,
@@ -112,18 +112,19 @@
 	}));
 }
 
-/** Milliseconds over which goodput is looked at, and by which the look moves on. */
+/** Length and step of the sliding window over goodput, in milliseconds. */
 const recoveryWindow = 1000;
 const recoveryStep = 100;
-/** Milliseconds for which it must stay back. */
+/** Milliseconds for which goodput must stay recovered. */
 const recoveryHoldDuration = 5000;
-/** The share of the goodput before that counts as being back. */
+/** Fraction of the goodput before the trigger that counts as recovered. */
 const recoveredShare = 0.95;
 
 /**
- * The first instant at which goodput is back, over the last second or since
- * the trigger's end, and from which it stays back on average for five seconds
- * more: a moment of luck in a collapse is no recovery.
+ * Finds the first instant at which goodput has recovered, over the last second
+ * or since the end of the trigger, and after which its mean over five seconds
+ * stays recovered: a short peak during a collapse is no recovery. Returns
+ * seconds since the end of the trigger.
  */
 export function findRecovery(
 	answers: number[],
@@ -159,7 +160,7 @@
 		.toSorted((left, right) => left - right);
 }
 
-/** Answers a second within a span; the instants are sorted. */
+/** Answers per second within a span; expects sorted instants. */
 function rateWithin({begin, end}: Span, sorted: number[]): number {
 	const count = lowerBound(sorted, end) - lowerBound(sorted, begin);
 	return (count * 1000) / (end - begin);
--- a/packages/experiment/src/home.ts
+++ b/packages/experiment/src/home.ts
@@ -1,23 +1,23 @@
 /**
- * The node that a client speaks to, as the home of its requests' keys: while
- * an attempt of a key is running it starts no other, and it repeats the answer
- * of one that has run. What goes wrong without it: a client that waited in
- * vain sends its payment again, and both run. The naive version has no such
- * memory. The real ledger, with its expiry and its bounds, is a package of its
- * own; the run is too short for either.
+ * The node to which a client sends its requests, as the home of their
+ * idempotency keys: it starts no second attempt of a key while one is running,
+ * and repeats the outcome of one that has run. Without it, a client that times
+ * out sends its payment again and both attempts run. The naive variant does not
+ * track keys. The real ledger, with its expiry and its bounds, is a separate
+ * package; a run is too short for either.
  */
 import {ErrorCode} from '@egretspoke/protocol';
 import type {Attempt, CallEnd, UserRequest} from './call.js';
 import {routeCall} from './entry.js';
 import type {Simulation} from './simulation.js';
 
-/** The door of one place in the deployment. */
+/** The entry point for the clients of one place in the deployment. */
 export type Home = {
-	/** Takes a client's try; the returned function tells that the client has gone. */
+	/** Handles a client's try; the returned function reports that the client disconnected. */
 	handle(attempt: Attempt, done: (end: CallEnd) => void): () => void;
 };
 
-/** Milliseconds after which a client may ask again for a request that is running. */
+/** Retry-after time for a request that is still running, in milliseconds. */
 const stillRunningRetryAfter = 250;
 
 const stillRunning: CallEnd = {
@@ -26,7 +26,7 @@
 	retryAfter: stillRunningRetryAfter,
 };
 
-/** Creates the door of the node at a place. */
+/** Creates the home at a place. */
 export function createHome(simulation: Simulation, place: number): Home {
 	const recordedEnds = new Map<UserRequest, CallEnd>();
 	const {variant} = simulation;
--- a/packages/experiment/src/mechanism-table.ts
+++ b/packages/experiment/src/mechanism-table.ts
@@ -1,4 +1,4 @@
-/** The worth of each mechanism: the same load with one switched off at a time. */
+/** Shows the effect of each mechanism: the same load with one mechanism disabled at a time. */
 import {mechanisms} from '@egretspoke/decisions';
 import type {ExperimentSetup} from './experiment.js';
 import type {Figures} from './figures.js';
@@ -14,7 +14,7 @@
 	{heading: 'slow / healthy p99', field: 'deepTimeRatio'},
 ];
 
-/** The table as markdown, one row each for naive, ours, and ours without one mechanism. */
+/** Runs all variants and formats a Markdown table: naive, ours, and ours without each mechanism. */
 export function formatMechanismTable(
 	setup: Omit<ExperimentSetup, 'seed' | 'policies'>,
 	seeds: number[],
--- a/packages/experiment/src/model-node.ts
+++ b/packages/experiment/src/model-node.ts
@@ -1,6 +1,6 @@
 /**
- * A node with the target beside it: admission, the target's slots, and the
- * target's own calls deeper, for which this node is the entry.
+ * A simulated node and its local target: admission, the slots of the target, and
+ * the target's downstream calls, for which this node is the entry.
  */
 import {ErrorCode, type LoadReport} from '@egretspoke/protocol';
 import type {
@@ -18,33 +18,33 @@
 import {createFakeTarget} from './fake-target.js';
 import type {Simulation} from './simulation.js';
 
-/** Sends the end of an attempt back, with the load report of that moment. */
+/** Returns the end of an attempt with the current load report. */
 export type Reply = (end: CallEnd, report: LoadReport) => void;
 
 export type ModelNode = {
 	name: string;
 	dataCentre: string;
 	role: ServiceRole;
-	/** Its number among the targets of its service. */
+	/** Index among the targets of its service. */
 	index: number;
 	startsCold: boolean;
-	/** When it was started, in milliseconds of the run. */
+	/** Start of its target, in milliseconds of the run. */
 	since: number;
 	routing: RoutingPolicy;
-	/** What the layers below let in, for admission and routing alike. */
+	/** Shed levels of the downstream services, shared by admission and routing. */
 	downstreamLevels: DownstreamLevels;
-	/** The nodes to which a connection is open. */
+	/** Nodes with an open connection to this one. */
 	connectedNodes: Set<ModelNode>;
 	receive(attempt: Attempt, timeLeft: number, reply: Reply): void;
-	/** The caller gave the attempt up. */
+	/** Cancels an attempt whose caller gave up. */
 	cancel(attempt: Attempt): void;
-	/** How many requests its target has run. */
+	/** Number of requests that the target has run. */
 	completed(): number;
-	/** The report of a second ago. */
+	/** A load report that is about one second old. */
 	staleReport(): LoadReport;
 };
 
-/** What tells one node from another. */
+/** The properties in which nodes differ. */
 export type ModelNodeOptions = Pick<
 	ModelNode,
 	| 'name'
@@ -57,19 +57,19 @@
 	| 'downstreamLevels'
 > & {admission: AdmissionPolicy};
 
-/** An attempt at this node, waiting or running. */
+/** An attempt that is waiting or running at this node. */
 type PendingAttempt = {
 	attempt: Attempt;
 	facts: CallFacts;
 	reply: Reply;
-	/** Ends the execution; set once handed over. */
+	/** Stops the execution; set once dispatched. */
 	stop?: () => void;
 };
 
-/** Milliseconds between the reports that are kept as late ones. */
+/** Minimum interval between stored stale reports, in milliseconds. */
 const staleReportAge = 1000;
 
-/** Creates a node of the run. */
+/** Creates a simulated node. */
 export function createModelNode(
 	simulation: Simulation,
 	options: ModelNodeOptions,
--- a/packages/experiment/src/options.ts
+++ b/packages/experiment/src/options.ts
@@ -1,11 +1,11 @@
-/** The command line of the experiment, checked as a whole: one error with every finding. */
+/** Validates the command line of the experiment; one error lists all findings. */
 import {formatFinding, type Finding} from '@egretspoke/shared';
 import {err, ok, type Result} from 'neverthrow';
 import {variantNames} from './policy-variant.js';
 import {deploymentNames, type DeploymentName} from './deployment.js';
 import {scenarioNames, type ScenarioName} from './scenario.js';
 
-/** What commander makes of the flags. */
+/** Flags as parsed by commander. */
 export type Flags = {
 	scenario?: string;
 	deployment: string;
@@ -17,19 +17,19 @@
 	json?: boolean;
 };
 
-/** What is to be run. */
+/** Validated options. */
 export type Options = {
 	scenario: ScenarioName;
 	deployment: DeploymentName;
 	seeds: number[];
-	/** Whether the figures of several seeds are to be summed up. */
+	/** Whether to summarize the figures over several seeds. */
 	isSweep: boolean;
 	policies: string[];
 	table: boolean;
 	plot?: string;
 };
 
-/** Reads the flags; the error lists all that is wrong with them. */
+/** Validates the flags; the error lists all findings. */
 export function readOptions(flags: Flags): Result<Options, Finding[]> {
 	const findings: Finding[] = [];
 	const scenario = readChoice(
@@ -69,7 +69,7 @@
 	});
 }
 
-/** All findings as one message. */
+/** Formats the findings, one per line. */
 export function formatFindings(findings: Finding[]): string {
 	return findings.map((finding) => formatFinding(finding)).join('\n');
 }
--- a/packages/experiment/src/plot.ts
+++ b/packages/experiment/src/plot.ts
@@ -1,10 +1,10 @@
-/** Goodput over time as a chart, the same bytes for the same points. */
+/** Draws goodput over time; the output is byte-identical for the same points. */
 import {line, plot, rectX, ruleY, selectLast, text} from '@observablehq/plot';
 import {parseHTML} from 'linkedom';
 import type {GoodputPoint} from './experiment.js';
 import type {Scenario} from './scenario.js';
 
-/** What the chart shows. */
+/** The content of the chart. */
 export type GoodputChart = {
 	title: string;
 	scenario: Scenario;
@@ -14,13 +14,13 @@
 
 const millisecondsPerSecond = 1000;
 
-/** Without it a viewer does not take the file for a chart. */
+/** Viewers do not recognize the file as an image without the namespace. */
 const namespace = 'http://www.w3.org/2000/svg';
 
-/** Draws the chart as the text of an SVG file. */
+/** Draws the chart and returns the text of an SVG file. */
 export function drawGoodput(chart: GoodputChart): string {
 	const {scenario, points, limitGoodput, title} = chart;
-	// Without the browser's library there is no type for a document; the plotting library accepts linkedom's.
+	// The compiler options exclude the DOM library, so that Document has no type; Plot accepts linkedom's.
 	const {document} = parseHTML(
 		'<!doctype html><html><body></body></html>',
 	) as unknown as {
--- a/packages/experiment/src/policy-variant.ts
+++ b/packages/experiment/src/policy-variant.ts
@@ -1,7 +1,7 @@
 /**
- * The lookup table of what is compared. Both sides take one path; they differ
- * in their policy and in the habits below, which belong to the node and
- * not to the decisions.
+ * Lookup table of the policy variants that the experiment compares. All of them
+ * use the same request path; they differ in their policy and in the settings
+ * below, which belong to the node and not to the decisions.
  */
 import {
 	createEgretspokePolicy,
@@ -11,35 +11,35 @@
 } from '@egretspoke/decisions';
 import {naivePolicy, naiveTries} from '@egretspoke/stand-ins';
 
-/** One side of the comparison. */
+/** A policy and the node settings that belong to it. */
 export type PolicyVariant = {
 	name: string;
 	policy: Policy;
-	/** Attempts with which a client's request enters. */
+	/** Attempts that a client's request may use. */
 	attempts: number;
-	/** Whether a caller that gives up has its work below cancelled. */
+	/** Whether the downstream work of a caller that gives up is cancelled. */
 	cancelsDownstream: boolean;
-	/** Whether the entry node remembers the keys of requests that may not be repeated. */
+	/** Whether the entry node tracks the keys of non-idempotent requests. */
 	deduplicatesKeys: boolean;
-	/** Whether a request that may not be repeated is tried again when its outcome is unknown. */
+	/** Whether a non-idempotent request is retried when its outcome is unknown. */
 	retriesUnknown: boolean;
-	/** The deadline of a call whose caller gives up at the instant; without end where deadlines aren't passed on. */
+	/** Returns the deadline of a call for that of its caller; infinite if deadlines are not propagated. */
 	callDeadline(callerDeadline: number): number;
-	/** When one attempt is given up: at the call's deadline, or after the operation's timeout for each try. */
+	/** Returns the deadline of one attempt: that of the call, or the operation's try timeout from now. */
 	attemptDeadline(deadline: number, now: number, tryTimeout: number): number;
 };
 
-/** The prefix that asks for our policy with one mechanism switched off. */
+/** Prefix of the variants of our policy with one mechanism disabled. */
 const withoutPrefix = 'without:';
 
-/** Every name that `--policy` takes. */
+/** Values of `--policy`. */
 export const variantNames: string[] = [
 	'naive',
 	'egretspoke',
 	...mechanisms.map((mechanism) => `${withoutPrefix}${mechanism}`),
 ];
 
-/** Finds a side by its name; undefined when there is none. */
+/** Finds a variant by name; undefined if there is none. */
 export function findVariant(name: string): PolicyVariant | undefined {
 	return table[name]?.();
 }
--- a/packages/experiment/src/run.ts
+++ b/packages/experiment/src/run.ts
@@ -1,4 +1,4 @@
-/** Runs one side of the comparison through one scenario. */
+/** Simulates one scenario with one policy variant. */
 import {createRandom, createVirtualClock} from '@egretspoke/shared';
 import {
 	createDownstreamLevels,
@@ -19,10 +19,10 @@
 import {startDemand} from './users.js';
 import type {Simulation} from './simulation.js';
 
-/** How long before the run every target was started, in milliseconds. */
+/** Age of the initial targets at the start of the run, in milliseconds. */
 const targetAge = 3_600_000;
 
-/** Runs from the first want to the end of the aftermath. */
+/** Simulates from the first user arrival to the end of the recovery period. */
 export function runVariant(
 	variant: PolicyVariant,
 	deployment: Deployment,
@@ -122,7 +122,7 @@
 	return node;
 }
 
-/** Tells every node the candidates of every service. */
+/** Passes the candidates of every service to the routing of every node. */
 function publishCandidates(simulation: Simulation): void {
 	const now = simulation.clock.now();
 	for (const role of serviceRoles) {
@@ -143,7 +143,7 @@
 	}
 }
 
-/** New VMs take the place of some of the deepest targets; the old ones finish what they have. */
+/** Replaces some of the deepest targets by cold ones on new VMs; the old ones finish their requests. */
 function replaceTargets(
 	simulation: Simulation,
 	forkRandom: () => Simulation['workRandom'],
--- a/packages/experiment/src/scenario.ts
+++ b/packages/experiment/src/scenario.ts
@@ -1,11 +1,12 @@
 /**
- * The load patterns. Each runs calmly for a while, then its trigger comes and
- * goes, then it runs on for longer than any trigger, so that an overload that
- * outlasts its cause is seen as such (Bronson et al., HotOS 2021).
+ * The load patterns. Each has a baseline period, a trigger period and a recovery
+ * period. Except in `light`, the recovery period is longer than any trigger, so
+ * that an overload that outlasts its cause is visible (Bronson et al., HotOS
+ * 2021).
  */
 import {longOperation, operations, type Operation} from './deployment.js';
 
-/** The names under which a load pattern can be asked for. */
+/** Values of `--scenario`. */
 export const scenarioNames = [
 	'burst',
 	'heavy-callers',
@@ -18,9 +19,9 @@
 ] as const;
 export type ScenarioName = (typeof scenarioNames)[number];
 
-/** A stream of demand of its own, such as that of a few heavy callers. */
+/** A separate stream of demand, such as that of a few heavy callers. */
 export type Demand = {
-	/** Wants a second, as a share of the healthy capacity. */
+	/** Rate of user arrivals, relative to the capacity of the healthy deepest service. */
 	load: number;
 	operations: Operation[];
 	callers: string[];
@@ -29,29 +30,29 @@
 /** One load pattern. */
 export type Scenario = {
 	name: ScenarioName;
-	/** Milliseconds of calm before the trigger. */
+	/** Milliseconds before the trigger. */
 	baselineDuration: number;
-	/** Milliseconds from the trigger's begin to its end. */
+	/** Milliseconds from the start of the trigger to its end. */
 	triggerDuration: number;
-	/** Milliseconds that the run goes on after the trigger. */
+	/** Milliseconds of the run after the trigger. */
 	recoveryDuration: number;
 	/** The demand before and after the trigger. */
 	baselineDemand: Demand[];
 	/** The demand during the trigger. */
 	triggerDemand: Demand[];
-	/** How many of the deepest targets are replaced by cold ones when the trigger begins. */
+	/** Number of deepest targets that are replaced by cold ones at the start of the trigger. */
 	replacedTargets: number;
-	/** By how much the work of one of the deepest targets takes longer during the trigger. */
+	/** Factor on the work duration of one of the deepest targets during the trigger. */
 	slowdown(target: number): number;
 };
 
-/** How much longer than a warm one a target takes for its first request. */
+/** Work duration of the first request of a cold target, relative to a warm one. */
 export const coldStartFactor = 8;
 
-/** After so many requests a cold target is warm; in between, its factor falls evenly. */
+/** Number of requests after which a cold target is warm; its factor decreases linearly until then. */
 export const warmUpRequests = 300;
 
-/** Callers that each keep within an equal share. */
+/** Callers that stay within an equal share each. */
 const callers = Array.from({length: 40}, (_, index) => `caller-${index + 1}`);
 const heavyCallers = ['heavy-1', 'heavy-2', 'heavy-3'];
 
@@ -124,7 +125,7 @@
 	},
 };
 
-/** Whether a caller is one of the few that ask for more than their share. */
+/** Whether a caller is one of the few that exceed their share. */
 export function isHeavyCaller(caller: string): boolean {
 	return heavyCallers.includes(caller);
 }
--- a/packages/experiment/src/simulation.ts
+++ b/packages/experiment/src/simulation.ts
@@ -1,7 +1,7 @@
 /**
- * What the parts of one run share: the clock, the streams of randomness, the
- * nodes and the network between them. The network only delays; it neither
- * loses nor reorders on one connection.
+ * The shared state of one run: the clock, the random streams, the nodes and the
+ * network between them. The network only delays messages; it neither loses nor
+ * reorders them on one connection.
  */
 import type {Random, VirtualClock} from '@egretspoke/shared';
 import type {PolicyVariant} from './policy-variant.js';
@@ -16,26 +16,26 @@
 import type {Scenario} from './scenario.js';
 import type {Tally} from './tally.js';
 
-/** Everything that one run consists of. */
+/** The state of one run. */
 export type Simulation = {
 	clock: VirtualClock;
 	deployment: Deployment;
 	scenario: Scenario;
 	variant: PolicyVariant;
 	tally: Tally;
-	/** The deadlines of attempts and tries. */
+	/** Timers for the deadlines of attempts and client tries. */
 	deadlines: DeadlineWheel;
-	/** The nodes by their place; a replaced one has left its place to its successor. */
+	/** Nodes by place; a replacement takes the place of the node that it replaces. */
 	nodes: ModelNode[];
 	nodesByName: Map<string, ModelNode>;
-	/** Draws for the durations of work. */
+	/** Random stream for work durations. */
 	workRandom: Random;
-	/** Draws for late and wrong load reports. */
+	/** Random stream for stale and wrong load reports. */
 	reportRandom: Random;
 	nextId(): string;
 };
 
-/** Milliseconds from one node to another, the cost of a first connection included. */
+/** Delay from one node to another in milliseconds, including the cost of a first connection. */
 export function delayBetween(
 	simulation: Simulation,
 	from: ModelNode,
@@ -58,13 +58,13 @@
 	return delay + connectionCost;
 }
 
-/** Whether the trigger is on. */
+/** Whether the trigger is active. */
 export function isTriggered({clock, scenario}: Simulation): boolean {
 	const since = clock.now() - scenario.baselineDuration;
 	return since >= 0 && since < scenario.triggerDuration;
 }
 
-/** By how much work takes longer at a node now. */
+/** Current factor on the duration of work at a node. */
 export function slowdownAt(simulation: Simulation, node: ModelNode): number {
 	if (node.role !== 'deep') {
 		return 1;
@@ -76,10 +76,10 @@
 	return slow * (node.startsCold ? warmUpFactor(node.completed()) : 1);
 }
 
-/** Spread of the work of one operation: the standard deviation of its logarithm. */
+/** Standard deviation of the logarithm of an operation's work. */
 const workLogDeviation = 0.4;
 
-/** A duration drawn around its mean, log-normal. */
+/** Draws a log-normal duration with the given mean. */
 export function drawWork(random: Random, mean: number): number {
 	const radius = Math.sqrt(-2 * Math.log(1 - random.fraction()));
 	const normal = radius * Math.cos(2 * Math.PI * random.fraction());
--- a/packages/experiment/src/sweep.ts
+++ b/packages/experiment/src/sweep.ts
@@ -1,26 +1,26 @@
-/** Many seeds as two figures a field: the median and the worst. */
+/** Runs an experiment for several seeds and reports the median and the worst of each figure. */
 import {runExperiment, type ExperimentSetup} from './experiment.js';
 import type {Figures} from './figures.js';
 
-/** The median and the worst over the seeds; undefined where a figure isn't known or never came about. */
+/** The median and the worst over the seeds; undefined if the figure is undefined there, such as a recovery that never happened. */
 export type SeedSummary = {
 	median: number | undefined;
 	worst: number | undefined;
-	/** The seed that gave the worst. */
+	/** The seed with the worst value. */
 	worstSeed: number;
 };
 
-/** Every figure of one policy over the seeds. */
+/** Summaries of all figures of one policy. */
 export type FigureSummaries = Record<keyof Figures, SeedSummary>;
 
-/** What a sweep gives. */
+/** The result of a sweep. */
 export type SweepResult = Omit<ExperimentSetup, 'seed' | 'policies'> & {
 	seeds: number[];
 	limitGoodput: SeedSummary;
 	policies: Record<string, FigureSummaries>;
 };
 
-/** Which end of each figure is the worse one. */
+/** Whether lower or higher values of a figure are worse. */
 const worseDirections: Record<keyof Figures, 'lower' | 'higher'> = {
 	goodput: 'lower',
 	goodputShare: 'lower',
@@ -40,7 +40,7 @@
 	deepTimeRatio: 'higher',
 };
 
-/** Runs every seed and sums up. */
+/** Runs the experiment for every seed and summarizes the figures. */
 export function runSweep(
 	setup: Omit<ExperimentSetup, 'seed'>,
 	seeds: number[],
@@ -83,8 +83,8 @@
 }
 
 /**
- * The median and the worst. A figure that isn't there, such as a recovery
- * that never came, counts as the worst of all.
+ * Computes the median and the worst. An undefined value, such as a recovery
+ * that never happened, counts as the worst.
  */
 export function summarizeSeeds(
 	values: Array<number | undefined>,
--- a/packages/experiment/src/tally.ts
+++ b/packages/experiment/src/tally.ts
@@ -1,15 +1,15 @@
 /**
- * Counts what happens in a run and checks two promises as it goes: nothing
- * that was said not to have run has run, and nothing runs twice that must run
+ * Records the events of a run and checks two guarantees: an attempt that was
+ * reported as not run has not run, and a non-idempotent request runs at most
  * once.
  */
 import type {AttemptResult} from '@egretspoke/decisions';
 import type {Attempt, UserRequest} from './call.js';
 import type {UserArrival} from './capacity.js';
 
-/** A call to the deepest service as its caller saw it. */
+/** A call to the deepest service, as observed by its caller. */
 export type DeepCall = {
-	/** The number of the target among those of its service. */
+	/** Index of the target among those of its service. */
 	index: number;
 	endedAt: number;
 	duration: number;
@@ -17,19 +17,19 @@
 
 /** The record of one run. */
 export type Tally = {
-	/** Every want that arose; the same for every policy. */
+	/** All user arrivals; the same for every policy. */
 	userArrivals: UserArrival[];
 	requests: UserRequest[];
 	deepCalls: DeepCall[];
 	/** Instants at which a call arrived at a node of the deepest service. */
 	deepArrivals: number[];
-	/** Attempts that were said not to have run, and had, or did later. */
+	/** Number of attempts that were reported as not run but had run or ran later. */
 	notRunThatRan(): number;
-	/** Requests that may not be repeated and took effect more than once at a service. */
+	/** Number of non-idempotent requests that took effect more than once at a service. */
 	ranTwice(): number;
 	recordRequest(request: UserRequest): void;
 	recordDeepArrival(): void;
-	/** A target worked for a request, in milliseconds. */
+	/** Adds the work of a target for a request, in milliseconds. */
 	recordWork(request: UserRequest, duration: number): void;
 	recordEffect(attempt: Attempt): void;
 	recordNotRun(attempt: Attempt): void;
--- a/packages/experiment/src/users.ts
+++ b/packages/experiment/src/users.ts
@@ -1,18 +1,16 @@
 /**
- * The users and their clients, the same for both sides. A user wants one
- * thing, and the want lives on until it is served or abandoned:
+ * Simulates users and their clients, the same for every policy. A user arrives,
+ * needs one operation and leaves once it is answered or abandoned:
  *
- * - The client sends a request with a deadline of three seconds. It waits one
- *   second for the answer to a try, and tries at once up to three times. For a
- *   long operation all times of waiting are five times as long.
- * - Half of the clients honour Retry-After: they wait as told before the next
- *   try, and give the request up if that is past its deadline. The others
- *   retry at once whatever they are told.
- * - After a request has failed the user thinks for two to four seconds (one
- *   who was told to come back later waits at least that long, if the client
- *   honours it) and sends a new request. Ten seconds after the want arose it
- *   is abandoned.
- * - A repeated try carries the key of its request; a new request has a new one.
+ * - The client sends a request with a deadline of three seconds and makes up to
+ *   three tries, each with a timeout of one second and without backoff. All
+ *   timeouts of a long operation are five times as long.
+ * - Half of the clients honour Retry-After: they delay the next try, or fail the
+ *   request if the delay exceeds its deadline. The others retry immediately.
+ * - After a failed request the user waits a think time of two to four seconds
+ *   (at least the retry-after time if the client honours it) and sends a new
+ *   request. The user abandons ten seconds after the arrival.
+ * - The tries of a request share its idempotency key; a new request has a new key.
  */
 import type {Random} from '@egretspoke/shared';
 import type {Attempt, CallEnd, UserRequest} from './call.js';
@@ -21,43 +19,43 @@
 import type {Demand} from './scenario.js';
 import type {Simulation} from './simulation.js';
 
-/** Tries of one request, the first one included. */
+/** Maximum tries of one request, including the first. */
 const clientTries = 3;
 
-/** How many times the wait for a try a request's deadline is away. */
+/** Deadline of a request, as a multiple of the try timeout. */
 const deadlineFactor = 3;
 
-/** How many times the wait for a try a user keeps a want up. */
+/** Time from a user's arrival until the user abandons, as a multiple of the try timeout. */
 const abandonmentFactor = 10;
 
-/** Milliseconds that a user thinks before a new request: the least, and the span above it. */
+/** Think time before a new request in milliseconds: the minimum, and the range of the uniform addition. */
 const minThinkTime = 2000;
 const thinkTimeSpread = 2000;
 
-/** The share of clients that honour Retry-After. */
+/** Fraction of clients that honour Retry-After. */
 const honouringRatio = 0.5;
 
-/** A user with a want. */
+/** A user who needs one operation. */
 type User = {
 	operation: Operation;
 	caller: string;
 	honoursRetryAfter: boolean;
-	/** The node that the client speaks to. */
+	/** The node to which the client sends its requests. */
 	home: Home;
 	abandonsAt: number;
 	random: Random;
 };
 
-/** When and how fast wants arise. */
+/** Period and rate of user arrivals. */
 export type DemandSpan = {
 	begin: number;
 	end: number;
-	/** Wants a second. */
+	/** User arrivals per second. */
 	rate: number;
 	random: Random;
 };
 
-/** Lets wants arise, as a Poisson process, until the run is over. */
+/** Schedules user arrivals as a Poisson process until the end of the period. */
 export function startDemand(
 	simulation: Simulation,
 	homes: Home[],
@@ -117,7 +115,7 @@
 	return operations.at(-1)!;
 }
 
-/** The user sends a new request. */
+/** Sends a new request of the user. */
 function sendNewRequest(simulation: Simulation, user: User): void {
 	const {clock, tally} = simulation;
 	const now = clock.now();
@@ -140,7 +138,7 @@
 	});
 }
 
-/** Tries until an answer, the last try or the deadline; tells only of a failure. */
+/** Tries until an answer, the last try or the deadline; `failed` is called only on failure. */
 function sendRequest(
 	simulation: Simulation,
 	user: User,
@@ -173,7 +171,7 @@
 	tryOnce();
 }
 
-/** One try; its end is undefined when no answer came in time. */
+/** Sends one try; `done` receives undefined on timeout. */
 function sendTry(
 	simulation: Simulation,
 	home: Home,
@@ -213,7 +211,7 @@
 	});
 }
 
-/** The client's try as the root of all attempts that are made for it. */
+/** Creates the client's try, the root of all attempts made for it. */
 function createClientAttempt(
 	simulation: Simulation,
 	request: UserRequest,
