--- a/packages/experiment/src/simulation.ts
+++ b/packages/experiment/src/simulation.ts
@@ -1,7 +1,7 @@
 /**
- * The shared state of one run: the clock, the random streams, the nodes and the
- * network between them. The network only delays messages; it neither loses nor
- * reorders them on one connection.
+ * The shared state of one run: the clock, the streams of random numbers, the
+ * nodes and the network between them. The network only delays; it neither
+ * loses nor reorders on one connection.
  */
 import type {Random, VirtualClock} from '@egretspoke/shared';
 import type {PolicyVariant} from './policy-variant.js';
@@ -23,19 +23,19 @@
 	scenario: Scenario;
 	variant: PolicyVariant;
 	tally: Tally;
-	/** Timers for the deadlines of attempts and client tries. */
+	/** The deadlines of attempts and tries. */
 	deadlines: DeadlineWheel;
 	/** Nodes by place; a replacement takes the place of the node that it replaces. */
 	nodes: ModelNode[];
 	nodesByName: Map<string, ModelNode>;
-	/** Random stream for work durations. */
+	/** Draws for the durations of work. */
 	workRandom: Random;
-	/** Random stream for stale and wrong load reports. */
+	/** Draws for late and wrong load reports. */
 	reportRandom: Random;
 	nextId(): string;
 };
 
-/** Delay from one node to another in milliseconds, including the cost of a first connection. */
+/** Milliseconds from one node to another, the cost of a first connection included. */
 export function delayBetween(
 	simulation: Simulation,
 	from: ModelNode,
@@ -79,7 +79,7 @@
 /** Standard deviation of the logarithm of an operation's work. */
 const workLogDeviation = 0.4;
 
-/** Draws a log-normal duration with the given mean. */
+/** Draws a duration around its mean, log-normal. */
 export function drawWork(random: Random, mean: number): number {
 	const radius = Math.sqrt(-2 * Math.log(1 - random.fraction()));
 	const normal = radius * Math.cos(2 * Math.PI * random.fraction());
