--- a/packages/experiment/__tests__/capacity.spec.ts
+++ b/packages/experiment/__tests__/capacity.spec.ts
@@ -26,16 +26,16 @@
 	}));
 }
 
-describe('the limit of goodput', () => {
+describe('computeLimit', () => {
 	const {akwaaba, fieldline} = deployments;
 	const short = operations[0]!;
 
-	it('is slots over service time: 90 slots of 100 ms, and 60 of 100 ms', () => {
+	it('has slots divided by service time as capacity: 90 and 60 slots of 100 ms', () => {
 		expect(capacityOf(akwaaba)).to.equal(900);
 		expect(capacityOf(fieldline)).to.equal(600);
 	});
 
-	it('is the capacity when the demand is above it', () => {
+	it('returns the capacity if demand exceeds it', () => {
 		const scenario = scenarios.saturation;
 		const userArrivals = arrivalsAt(scenario, 1800, short);
 		expect(computeLimit(akwaaba, scenario, userArrivals)).to.be.closeTo(900, 1);
@@ -45,19 +45,19 @@
 		);
 	});
 
-	it('is the demand when the capacity is above it', () => {
+	it('returns the demand if capacity exceeds it', () => {
 		const scenario = scenarios.light;
 		const userArrivals = arrivalsAt(scenario, 250, short);
 		expect(computeLimit(akwaaba, scenario, userArrivals)).to.be.closeTo(250, 1);
 	});
 
-	it('falls to a third when every deepest target takes three times as long', () => {
+	it('returns a third of the capacity if all deepest targets take three times as long', () => {
 		const scenario = scenarios['deep-slowdown'];
 		const userArrivals = arrivalsAt(scenario, 800, short);
 		expect(computeLimit(akwaaba, scenario, userArrivals)).to.be.closeTo(300, 1);
 	});
 
-	it('serves the short ones first: 450 of 900 leave 45 slots, and 45 / 0.8 s is 56.25 long ones', () => {
+	it('serves short operations first: 450 of 900 leave 45 slots, and 45 / 0.8 s is 56.25 long ones', () => {
 		const scenario = scenarios['long-among-short'];
 		const userArrivals = [
 			...arrivalsAt(scenario, 450, short),
@@ -69,19 +69,19 @@
 		);
 	});
 
-	it('counts what one slow target of three still gives: 2 * 300 + 30', () => {
+	it('includes the remaining capacity of one slow target of three: 2 * 300 + 30', () => {
 		const scenario = scenarios['slow-target'];
 		const userArrivals = arrivalsAt(scenario, 1800, short);
 		expect(computeLimit(akwaaba, scenario, userArrivals)).to.be.closeTo(630, 1);
 	});
 
-	it('holds a slot of an upper service while the calls below run', () => {
+	it('counts a slot as held during the downstream calls', () => {
 		expect(holdingTime(short.plan, 'deep', 3)).to.equal(300);
 		expect(holdingTime(short.plan, 'middle', 1)).to.equal(112);
 		expect(holdingTime(short.plan, 'front', 1)).to.equal(118);
 	});
 
-	it('warms a cold target with what it runs', () => {
+	it('reduces the factor of a cold target with the requests it has run', () => {
 		expect([0, 150, 300, 900].map((run) => warmUpFactor(run))).to.deep.equal([
 			8, 4.5, 1, 1,
 		]);
--- a/packages/experiment/__tests__/chain-model.spec.ts
+++ b/packages/experiment/__tests__/chain-model.spec.ts
@@ -49,27 +49,27 @@
 const sumOf = (values: number[]) =>
 	values.reduce((sum, value) => sum + value, 0);
 
-describe('a deep service with 1.8 times what it can run', () => {
+describe('a deep service at 1.8 times its capacity', () => {
 	// Entry nodes receive the shed level late, and the requests that they admit
 	// arrive late at the targets. A level that follows the queue time oscillates
 	// between refusing and admitting everything, and most of the admitted requests
 	// fail before they complete.
 	for (const reportDelay of [20, 200, 800]) {
 		for (const targets of [3, 14, 50]) {
-			describe(`at ${targets} targets, told of after ${reportDelay} ms`, () => {
+			describe(`with ${targets} targets and a report delay of ${reportDelay} ms`, () => {
 				const seconds = simulate(reportDelay, targets);
 				const settled = seconds.slice(4, 10);
 				const shareOf = (kind: string) =>
 					sumOf(settled.map(({whole}) => whole.get(kind) ?? 0)) /
 					sumOf(settled.map(({requested}) => requested.get(kind) ?? 0));
 
-				it('settles within three seconds, and runs whole requests from then on', () => {
+				it('settles within three seconds and completes requests from then on', () => {
 					const goodputs = settled.map(({goodput}) => goodput);
 					expect(Math.min(...goodputs)).to.be.above(0.7);
 					expect(sumOf(goodputs) / goodputs.length).to.be.above(0.85);
 				});
 
-				it('wastes next to nothing', () => {
+				it('fails less than 5 % of the requests', () => {
 					const failed = sumOf(settled.map((second) => second.failed));
 					const requested = sumOf(
 						settled.flatMap((second) => [...second.requested.values()]),
@@ -77,12 +77,12 @@
 					expect(failed / requested).to.be.below(0.05);
 				});
 
-				it('serves what is important and what is cheap', () => {
+				it('serves important and cheap requests', () => {
 					expect(shareOf('confirm')).to.be.above(0.9);
 					expect(shareOf('command')).to.be.above(0.85);
 				});
 
-				it('lets everybody in again within three seconds of its end', () => {
+				it('admits all but 10 % of the requests again within three seconds after the overload', () => {
 					const last = seconds[14]!;
 					expect(last.refused).to.be.below(
 						0.1 * sumOf([...last.requested.values()]),
--- a/packages/experiment/__tests__/experiment.spec.ts
+++ b/packages/experiment/__tests__/experiment.spec.ts
@@ -57,7 +57,7 @@
 
 	for (const policy of ['naive', 'egretspoke']) {
 		describe(policy, () => {
-			it('gives the same figures for the same seed, others for another', () => {
+			it('gives the same figures for the same seed, and others for another seed', () => {
 				const first = JSON.stringify(runOnce(policy, light));
 				expect(JSON.stringify(runOnce(policy, light))).to.equal(first);
 				expect(JSON.stringify(runOnce(policy, light, {seed: 2}))).not.to.equal(
@@ -65,7 +65,7 @@
 				);
 			});
 
-			it('answers everything at light load', () => {
+			it('answers all essential requests at light load without wasted work', () => {
 				const figures = runOnce(policy, light);
 				expect(figures.essentialGoodput).to.equal(1);
 				expect(figures.goodputShare).to.be.within(0.95, 1.05);
@@ -74,7 +74,7 @@
 		});
 	}
 
-	it('shows a collapse of the naive policy that outlasts its cause', () => {
+	it('shows a collapse of the naive policy that outlasts its trigger', () => {
 		// The deepest service slows down while demand rises, and every layer and
 		// every client retries. After the trigger the queues are still full of
 		// requests whose callers have gone, so that almost every request times out.
@@ -94,7 +94,7 @@
 		expect(figures.ranTwice).to.be.above(0);
 	});
 
-	it('keeps the promises of our policy through the same load', () => {
+	it('keeps the guarantees of our policy under the same load', () => {
 		const figures = runOnce(
 			'egretspoke',
 			{
@@ -110,20 +110,20 @@
 	});
 });
 
-describe('recovery', () => {
+describe('findRecovery', () => {
 	const evenly = (rate: number, begin: number, end: number) =>
 		Array.from(
 			{length: ((end - begin) * rate) / 1000},
 			(_, index) => begin + (index * 1000) / rate,
 		);
 
-	it('is the end of the first second that is back and stays back', () => {
+	it('returns the end of the first second with recovered goodput that persists', () => {
 		const answers = evenly(100, 3000, 20_000);
 		const recovery = findRecovery(answers, 100, {begin: 0, end: 20_000});
 		expect(recovery).to.be.closeTo(4, 0.1);
 	});
 
-	it('is not a moment of luck in a collapse', () => {
+	it('ignores a short peak during a collapse', () => {
 		const answers = evenly(100, 3000, 4500);
 		expect(findRecovery(answers, 100, {begin: 0, end: 20_000})).to.equal(
 			undefined,
@@ -131,8 +131,8 @@
 	});
 });
 
-describe('the spread over seeds', () => {
-	it('has the median and the worst with its seed', () => {
+describe('summarizeSeeds', () => {
+	it('returns the median, and the worst with its seed', () => {
 		expect(summarizeSeeds([3, 1, 2, 5], [1, 2, 3, 4], 'higher')).to.deep.equal({
 			median: 2.5,
 			worst: 5,
@@ -145,7 +145,7 @@
 		});
 	});
 
-	it('takes what never came about for the worst', () => {
+	it('ranks an undefined value as the worst', () => {
 		const {worst, worstSeed} = summarizeSeeds(
 			[1, undefined, 2],
 			[1, 2, 3],
@@ -156,7 +156,7 @@
 });
 
 describe('the fake target', () => {
-	it('runs as many as it has slots, first in first out, and refuses beyond its connections', () => {
+	it('runs one request per slot, first in first out, and refuses beyond its connections', () => {
 		const target = createFakeTarget(1, 3);
 		const started: string[] = [];
 		const targetRequests = ['a', 'b', 'c', 'd'].map((name) => ({
--- a/packages/experiment/__tests__/options.spec.ts
+++ b/packages/experiment/__tests__/options.spec.ts
@@ -1,8 +1,8 @@
 import {expect} from 'chai';
 import {formatFindings, readOptions} from '../src/index.js';
 
-describe('the flags', () => {
-	it('give one error with every finding', () => {
+describe('readOptions', () => {
+	it('returns one error with all findings', () => {
 		const findings = readOptions({
 			scenario: 'flood',
 			deployment: 'elsewhere',
@@ -18,7 +18,7 @@
 		expect(formatFindings(findings).split('\n')).to.have.lengthOf(4);
 	});
 
-	it('read a range of seeds', () => {
+	it('accepts a range of seeds', () => {
 		const options = readOptions({
 			scenario: 'burst',
 			deployment: 'akwaaba',
@@ -28,7 +28,7 @@
 		expect(options.policies).to.deep.equal(['naive', 'egretspoke']);
 	});
 
-	it('refuse a range that goes backwards, and a seed beside a range', () => {
+	it('rejects a descending range, and a seed together with a range', () => {
 		const findings = readOptions({
 			scenario: 'burst',
 			deployment: 'akwaaba',
--- a/packages/experiment/__tests__/output.spec.ts
+++ b/packages/experiment/__tests__/output.spec.ts
@@ -8,8 +8,8 @@
 } from '../src/index.js';
 import {drawGoodput} from '../src/plot.js';
 
-describe('what is printed', () => {
-	it('is one line, with null for what never came about', () => {
+describe('the printed result', () => {
+	it('is one line, with null for undefined figures', () => {
 		const figures = {goodput: 1, recoverySeconds: undefined};
 		const line = formatResult({scenario: 'light', policies: {naive: figures}});
 		expect(line).to.equal(
@@ -17,7 +17,7 @@
 		);
 	});
 
-	it('knows every policy by its name', () => {
+	it('has a variant for every policy name', () => {
 		for (const name of variantNames) {
 			expect(findVariant(name)?.name).to.equal(name);
 		}
@@ -27,7 +27,7 @@
 });
 
 describe('the sweep', () => {
-	it('sums up every figure of every policy', () => {
+	it('summarizes the figures of every policy', () => {
 		const result = runSweep(
 			{scenario: 'light', deployment: 'fieldline', policies: ['naive']},
 			[1],
@@ -41,8 +41,8 @@
 	});
 });
 
-describe('the picture', () => {
-	it('is an SVG file of its own, the same for the same points', () => {
+describe('the chart', () => {
+	it('is a standalone SVG file, identical for the same points', () => {
 		const draw = () =>
 			drawGoodput({
 				title: 'two policies',
--- a/packages/experiment/__tests__/tally.spec.ts
+++ b/packages/experiment/__tests__/tally.spec.ts
@@ -4,7 +4,7 @@
 import {createTally} from '../src/tally.js';
 
 function createRequest(operation = operations[0]!): UserRequest {
-	return {operation, caller: 'somebody', sentAt: 0, deadline: 3000, work: 0};
+	return {operation, caller: 'caller-1', sentAt: 0, deadline: 3000, work: 0};
 }
 
 function createAttempt(request: UserRequest, parent?: Attempt): Attempt {
@@ -13,7 +13,7 @@
 		call: {
 			request,
 			plan,
-			service: parent ? 'below' : 'above',
+			service: parent ? 'downstream' : 'upstream',
 			deadline: 1000,
 			attempts: 3,
 			chain: '1',
@@ -21,9 +21,9 @@
 		},
 		facts: {
 			id: '1',
-			service: 'above',
+			service: 'upstream',
 			requestClass: 'essential',
-			caller: 'somebody',
+			caller: 'caller-1',
 			operation: plan.operation,
 			deadline: 1000,
 			attempts: 3,
@@ -35,9 +35,9 @@
 	};
 }
 
-describe('the checkers', () => {
-	describe('of "not run"', () => {
-		it('catch an attempt that runs after it was said not to', () => {
+describe('the checks of the tally', () => {
+	describe('for "not run"', () => {
+		it('detect an attempt that runs after it was reported as not run', () => {
 			// A target starts a queued request while its node refuses it because of a
 			// queue timeout. The client receives that the payment did not run, pays
 			// again, and pays twice.
@@ -49,18 +49,18 @@
 			expect(tally.notRunThatRan()).to.equal(1);
 		});
 
-		it('catch an attempt whose deeper call had run', () => {
+		it('detect an attempt whose downstream call had run', () => {
 			// A service gives up after its downstream call has run, and reports that
 			// nothing has run. The state of the downstream service contradicts it.
 			const tally = createTally(() => 0);
 			const request = createRequest();
-			const above = createAttempt(request);
-			tally.recordEffect(createAttempt(request, above));
-			tally.recordNotRun(above);
+			const upstream = createAttempt(request);
+			tally.recordEffect(createAttempt(request, upstream));
+			tally.recordNotRun(upstream);
 			expect(tally.notRunThatRan()).to.equal(1);
 		});
 
-		it('accept a refusal of what never ran', () => {
+		it('accept a refusal of an attempt that never ran', () => {
 			const tally = createTally(() => 0);
 			const request = createRequest();
 			tally.recordNotRun(createAttempt(request));
@@ -69,8 +69,8 @@
 		});
 	});
 
-	describe('of "at most once"', () => {
-		it('catch two attempts of one booking that both run', () => {
+	describe('for "at most once"', () => {
+		it('detect two attempts of one booking that both run', () => {
 			// A client sends its booking again after a timeout while the first attempt
 			// is still running, so that the interviewer is booked twice.
 			const tally = createTally(() => 0);
@@ -82,7 +82,7 @@
 			expect(tally.ranTwice()).to.equal(1);
 		});
 
-		it('leave a request alone that may be repeated', () => {
+		it('ignore idempotent requests', () => {
 			const tally = createTally(() => 0);
 			const request = createRequest(
 				operations.find(({idempotent}) => idempotent),
--- a/packages/experiment/src/experiment.ts
+++ b/packages/experiment/src/experiment.ts
@@ -39,7 +39,7 @@
 	for (const name of setup.policies) {
 		const variant = findVariant(name);
 		if (variant === undefined) {
-			throw new RangeError(`no policy is named ${name}`);
+			throw new RangeError(`unknown policy: ${name}`);
 		}
 
 		const tally = runVariant(variant, deployment, scenario, seed);
--- a/packages/experiment/src/main.ts
+++ b/packages/experiment/src/main.ts
@@ -30,15 +30,27 @@
 Policies: ${variantNames.join(', ')}`;
 
 const command = new Command('experiment')
-	.description('The same seeded load through the naive policy and ours.')
+	.description('Run the same seeded load through the naive policy and ours.')
 	.option('--scenario <name>', scenarioNames.join(', '))
-	.option('--seed <number>', 'a whole number; the same seed prints the same')
+	.option(
+		'--seed <number>',
+		'a whole number; the same seed gives the same output',
+	)
 	.option('--deployment <name>', deploymentNames.join(' or '), 'akwaaba')
-	.option('--json', 'print one JSON object (the only form there is)')
-	.option('--policy <name...>', 'the policies to run instead of both')
-	.option('--sweep <range>', 'seeds A..B: median and worst of each figure')
-	.option('--table', 'print one row a mechanism switched off, as markdown')
-	.option('--plot <file>', 'write goodput over time as SVG')
+	.option('--json', 'print one JSON object (the default)')
+	.option(
+		'--policy <name...>',
+		'policies to run (default: naive and egretspoke)',
+	)
+	.option(
+		'--sweep <range>',
+		'run seeds A..B; print median and worst of each figure',
+	)
+	.option(
+		'--table',
+		'print a Markdown table with one row per disabled mechanism',
+	)
+	.option('--plot <file>', 'write a chart of goodput over time as SVG')
 	.addHelpText('after', example)
 	.exitOverride()
 	.action((flags: Flags) => {
--- a/packages/experiment/src/options.ts
+++ b/packages/experiment/src/options.ts
@@ -84,7 +84,7 @@
 	if (found === undefined) {
 		findings.push({
 			path,
-			message: value === undefined ? 'is missing' : `"${value}" is not known`,
+			message: value === undefined ? 'is missing' : `"${value}" is unknown`,
 			advice: `one of ${names.join(', ')}`,
 		});
 	}
--- a/packages/experiment/src/plot.ts
+++ b/packages/experiment/src/plot.ts
@@ -38,7 +38,7 @@
 		height: 360,
 		ariaLabel: title,
 		x: {label: 'seconds'},
-		y: {label: 'whole requests a second', grid: true, zero: true},
+		y: {label: 'goodput (requests per second)', grid: true, zero: true},
 		color: {legend: false, scheme: 'Dark2'},
 		marks: [
 			rectX([trigger], {x1: 'begin', x2: 'end', fill: '#eee'}),
