--- a/packages/experiment/__tests__/capacity.spec.ts
+++ b/packages/experiment/__tests__/capacity.spec.ts
@@ -51,7 +51,7 @@
 		expect(computeLimit(akwaaba, scenario, userArrivals)).to.be.closeTo(250, 1);
 	});
 
-	it('returns a third of the capacity if all deepest targets take three times as long', () => {
+	it('returns a third of the capacity if all targets of the deepest service take three times as long', () => {
 		const scenario = scenarios['deep-slowdown'];
 		const userArrivals = arrivalsAt(scenario, 800, short);
 		expect(computeLimit(akwaaba, scenario, userArrivals)).to.be.closeTo(300, 1);
--- a/packages/experiment/src/capacity.ts
+++ b/packages/experiment/src/capacity.ts
@@ -119,7 +119,7 @@
 		.map(([cost, instants]) => createBacklog(cost, instants));
 }
 
-/** Returns a function that computes the work done by the deepest slots in the next step, in milliseconds of a healthy target. */
+/** Returns a function that computes the work that the deepest service does in the next step, in milliseconds of a healthy target. */
 function createDeepCapacity({services}: Deployment, scenario: Scenario) {
 	const {targets, slots} = services.deep;
 	const run = Array.from({length: targets}, (_, target) =>
--- a/packages/experiment/src/chain/chain-model.ts
+++ b/packages/experiment/src/chain/chain-model.ts
@@ -62,6 +62,7 @@
 	goodput: number;
 	refused: number;
 	failed: number;
+	/** Number of requests by kind: received, and completed. */
 	requested: Map<string, number>;
 	whole: Map<string, number>;
 };
--- a/packages/experiment/src/model-node.ts
+++ b/packages/experiment/src/model-node.ts
@@ -18,7 +18,7 @@
 import {createFakeTarget} from './fake-target.js';
 import type {Simulation} from './simulation.js';
 
-/** Returns the end of an attempt with the current load report. */
+/** Sends the end of an attempt and the current load report to the entry node. */
 export type Reply = (end: CallEnd, report: LoadReport) => void;
 
 export type ModelNode = {
--- a/packages/experiment/src/plot.ts
+++ b/packages/experiment/src/plot.ts
@@ -20,7 +20,7 @@
 /** Draws the chart and returns the text of an SVG file. */
 export function drawGoodput(chart: GoodputChart): string {
 	const {scenario, points, limitGoodput, title} = chart;
-	// The compiler options exclude the DOM library, so that Document has no type; Plot accepts linkedom's.
+	// The compiler options exclude the DOM library, so Document has no type; Plot accepts linkedom's.
 	const {document} = parseHTML(
 		'<!doctype html><html><body></body></html>',
 	) as unknown as {
--- a/packages/experiment/src/run.ts
+++ b/packages/experiment/src/run.ts
@@ -143,7 +143,7 @@
 	}
 }
 
-/** Replaces some of the deepest targets by cold ones on new VMs; the old ones finish their requests. */
+/** Replaces targets of the deepest service by cold ones on new VMs; the old ones finish their requests. */
 function replaceTargets(
 	simulation: Simulation,
 	forkRandom: () => Simulation['workRandom'],
--- a/packages/experiment/src/scenario.ts
+++ b/packages/experiment/src/scenario.ts
@@ -40,9 +40,9 @@
 	baselineDemand: Demand[];
 	/** The demand during the trigger. */
 	triggerDemand: Demand[];
-	/** Number of deepest targets that are replaced by cold ones at the start of the trigger. */
+	/** Number of targets of the deepest service that are replaced by cold ones at the start of the trigger. */
 	replacedTargets: number;
-	/** Factor on the work duration of one of the deepest targets during the trigger. */
+	/** Factor on the work duration of a target of the deepest service during the trigger. */
 	slowdown(target: number): number;
 };
 
