--- a/packages/experiment/__tests__/chain-model.spec.ts
+++ b/packages/experiment/__tests__/chain-model.spec.ts
@@ -1,5 +1,5 @@
 import {expect} from 'chai';
-import {playChain, type ChainSecond} from '../src/chain/chain-model.js';
+import {simulateChain, type ChainSecond} from '../src/chain/chain-model.js';
 
 const kinds = [
 	{
@@ -31,11 +31,11 @@
 	},
 ];
 
-/** Usual load, then 1.8 times what fits from the first second to the eleventh, then usual load. */
+/** 1.8 times the capacity from the first second to the eleventh, 0.7 times the capacity otherwise. */
 const demandAt = (now: number) => (now > 1000 && now < 11_000 ? 1.8 : 0.7);
 
-function play(reportDelay: number, targets: number): ChainSecond[] {
-	return playChain({
+function simulate(reportDelay: number, targets: number): ChainSecond[] {
+	return simulateChain({
 		kinds,
 		targets,
 		slots: 17,
@@ -49,42 +49,43 @@
 const sumOf = (values: number[]) =>
 	values.reduce((sum, value) => sum + value, 0);
 
-describe('a deep service with 1.8 times what it can run', () => {
-	// The entries hear of the overload late, and what they let in arrives late.
-	// With a level that follows the wait, everything is refused and let in by
-	// turns, and of the requests that are let in most fail half way.
+describe('a deep service at 1.8 times its capacity', () => {
+	// Entry nodes receive the shed level late, and the requests that they admit
+	// arrive late at the targets. A level that follows the queue time oscillates
+	// between refusing and admitting everything, and most of the admitted requests
+	// fail before they complete.
 	for (const reportDelay of [20, 200, 800]) {
 		for (const targets of [3, 14, 50]) {
-			describe(`at ${targets} targets, told of after ${reportDelay} ms`, () => {
-				const seconds = play(reportDelay, targets);
+			describe(`with ${targets} targets and a report delay of ${reportDelay} ms`, () => {
+				const seconds = simulate(reportDelay, targets);
 				const settled = seconds.slice(4, 10);
 				const shareOf = (kind: string) =>
 					sumOf(settled.map(({whole}) => whole.get(kind) ?? 0)) /
-					sumOf(settled.map(({asked}) => asked.get(kind) ?? 0));
+					sumOf(settled.map(({requested}) => requested.get(kind) ?? 0));
 
-				it('settles within three seconds, and runs whole requests from then on', () => {
+				it('settles within three seconds and completes requests from then on', () => {
 					const goodputs = settled.map(({goodput}) => goodput);
 					expect(Math.min(...goodputs)).to.be.above(0.7);
 					expect(sumOf(goodputs) / goodputs.length).to.be.above(0.85);
 				});
 
-				it('wastes next to nothing', () => {
+				it('fails less than 5 % of the requests', () => {
 					const failed = sumOf(settled.map((second) => second.failed));
-					const asked = sumOf(
-						settled.flatMap((second) => [...second.asked.values()]),
+					const requested = sumOf(
+						settled.flatMap((second) => [...second.requested.values()]),
 					);
-					expect(failed / asked).to.be.below(0.05);
+					expect(failed / requested).to.be.below(0.05);
 				});
 
-				it('serves what is important and what is cheap', () => {
+				it('serves important and cheap requests', () => {
 					expect(shareOf('confirm')).to.be.above(0.9);
 					expect(shareOf('command')).to.be.above(0.85);
 				});
 
-				it('lets everybody in again within three seconds of its end', () => {
+				it('admits all but 10 % of the requests again within three seconds after the overload', () => {
 					const last = seconds[14]!;
 					expect(last.refused).to.be.below(
-						0.1 * sumOf([...last.asked.values()]),
+						0.1 * sumOf([...last.requested.values()]),
 					);
 				});
 			});
--- a/packages/experiment/__tests__/output.spec.ts
+++ b/packages/experiment/__tests__/output.spec.ts
@@ -1,33 +1,33 @@
 import {expect} from 'chai';
 import {
-	findContender,
-	contenderNames,
-	print,
+	findVariant,
+	variantNames,
+	formatResult,
 	runSweep,
 	scenarios,
 } from '../src/index.js';
 import {drawGoodput} from '../src/plot.js';
 
-describe('what is printed', () => {
-	it('is one line, with null for what never came about', () => {
+describe('the printed result', () => {
+	it('is one line, with null for undefined figures', () => {
 		const figures = {goodput: 1, recoverySeconds: undefined};
-		const line = print({scenario: 'light', policies: {naive: figures}});
+		const line = formatResult({scenario: 'light', policies: {naive: figures}});
 		expect(line).to.equal(
 			'{"scenario":"light","naive":{"goodput":1,"recoverySeconds":null}}',
 		);
 	});
 
-	it('knows every policy by its name', () => {
-		for (const name of contenderNames) {
-			expect(findContender(name)?.name).to.equal(name);
+	it('has a variant for every policy name', () => {
+		for (const name of variantNames) {
+			expect(findVariant(name)?.name).to.equal(name);
 		}
 
-		expect(findContender('clever')).to.equal(undefined);
+		expect(findVariant('clever')).to.equal(undefined);
 	});
 });
 
 describe('the sweep', () => {
-	it('sums up every figure of every policy', () => {
+	it('summarizes the figures of every policy', () => {
 		const result = runSweep(
 			{scenario: 'light', deployment: 'fieldline', policies: ['naive']},
 			[1],
@@ -41,8 +41,8 @@
 	});
 });
 
-describe('the picture', () => {
-	it('is an SVG file of its own, the same for the same points', () => {
+describe('the chart', () => {
+	it('is a standalone SVG file, identical for the same points', () => {
 		const draw = () =>
 			drawGoodput({
 				title: 'two policies',
--- a/packages/experiment/__tests__/tally.spec.ts
+++ b/packages/experiment/__tests__/tally.spec.ts
@@ -4,7 +4,7 @@
 import {createTally} from '../src/tally.js';
 
 function createRequest(operation = operations[0]!): UserRequest {
-	return {operation, caller: 'somebody', sentAt: 0, deadline: 3000, work: 0};
+	return {operation, caller: 'caller-1', sentAt: 0, deadline: 3000, work: 0};
 }
 
 function createAttempt(request: UserRequest, parent?: Attempt): Attempt {
@@ -13,7 +13,7 @@
 		call: {
 			request,
 			plan,
-			service: parent ? 'below' : 'above',
+			service: parent ? 'downstream' : 'upstream',
 			deadline: 1000,
 			attempts: 3,
 			chain: '1',
@@ -21,9 +21,9 @@
 		},
 		facts: {
 			id: '1',
-			service: 'above',
+			service: 'upstream',
 			requestClass: 'essential',
-			caller: 'somebody',
+			caller: 'caller-1',
 			operation: plan.operation,
 			deadline: 1000,
 			attempts: 3,
@@ -31,65 +31,65 @@
 		},
 		node: 'one',
 		hasRun: false,
-		saidNotRun: false,
+		reportedNotRun: false,
 	};
 }
 
-describe('the checkers', () => {
-	describe('of "not run"', () => {
-		it('catch an attempt that runs after it was said not to', () => {
-			// A target takes a request from its queue just as its node refuses it for
-			// having waited too long. The boat owner reads that nothing was paid, pays
-			// again, and has paid twice.
+describe('the checks of the tally', () => {
+	describe('for "not run"', () => {
+		it('detect an attempt that runs after it was reported as not run', () => {
+			// A target starts a queued request while its node refuses it because of a
+			// queue timeout. The client receives that the payment did not run, pays
+			// again, and pays twice.
 			const tally = createTally(() => 0);
 			const attempt = createAttempt(createRequest());
-			tally.saidNotRun(attempt);
+			tally.recordNotRun(attempt);
 			expect(tally.notRunThatRan()).to.equal(0);
-			tally.tookEffect(attempt);
+			tally.recordEffect(attempt);
 			expect(tally.notRunThatRan()).to.equal(1);
 		});
 
-		it('catch an attempt whose deeper call had run', () => {
-			// A service gives up after its deeper call has gone through, and says that
-			// nothing was run. What the caller sees in the deeper service contradicts it.
+		it('detect an attempt whose downstream call had run', () => {
+			// A service gives up after its downstream call has run, and reports that
+			// nothing has run. The state of the downstream service contradicts it.
 			const tally = createTally(() => 0);
 			const request = createRequest();
-			const above = createAttempt(request);
-			tally.tookEffect(createAttempt(request, above));
-			tally.saidNotRun(above);
+			const upstream = createAttempt(request);
+			tally.recordEffect(createAttempt(request, upstream));
+			tally.recordNotRun(upstream);
 			expect(tally.notRunThatRan()).to.equal(1);
 		});
 
-		it('accept a refusal of what never ran', () => {
+		it('accept a refusal of an attempt that never ran', () => {
 			const tally = createTally(() => 0);
 			const request = createRequest();
-			tally.saidNotRun(createAttempt(request));
-			tally.tookEffect(createAttempt(request));
+			tally.recordNotRun(createAttempt(request));
+			tally.recordEffect(createAttempt(request));
 			expect(tally.notRunThatRan()).to.equal(0);
 		});
 	});
 
-	describe('of "at most once"', () => {
-		it('catch two attempts of one booking that both run', () => {
-			// A client that waited in vain sends its booking again while the first
-			// attempt is still running. The supervisor sees one interviewer twice.
+	describe('for "at most once"', () => {
+		it('detect two attempts of one booking that both run', () => {
+			// A client sends its booking again after a timeout while the first attempt
+			// is still running, so that the interviewer is booked twice.
 			const tally = createTally(() => 0);
 			const request = createRequest();
-			tally.requestSent(request);
-			tally.tookEffect(createAttempt(request));
+			tally.recordRequest(request);
+			tally.recordEffect(createAttempt(request));
 			expect(tally.ranTwice()).to.equal(0);
-			tally.tookEffect(createAttempt(request));
+			tally.recordEffect(createAttempt(request));
 			expect(tally.ranTwice()).to.equal(1);
 		});
 
-		it('leave a request alone that may be repeated', () => {
+		it('ignore idempotent requests', () => {
 			const tally = createTally(() => 0);
 			const request = createRequest(
 				operations.find(({idempotent}) => idempotent),
 			);
-			tally.requestSent(request);
-			tally.tookEffect(createAttempt(request));
-			tally.tookEffect(createAttempt(request));
+			tally.recordRequest(request);
+			tally.recordEffect(createAttempt(request));
+			tally.recordEffect(createAttempt(request));
 			expect(tally.ranTwice()).to.equal(0);
 		});
 	});
--- a/packages/experiment/src/capacity.ts
+++ b/packages/experiment/src/capacity.ts
@@ -1,93 +1,95 @@
 /**
- * `limitGoodput`: the most whole requests a second that the capacity allows
- * during the overload. It is computed, not measured, from slots, mean service
- * times and the wants that arose, as a flow in small steps:
+ * Computes `limitGoodput`: the maximum number of requests per second that the
+ * capacity allows during the overload. It is calculated as a flow in small
+ * steps from slots, mean service times and the user arrivals:
  *
- * - The slots give `slots` milliseconds of work a millisecond and target. The
- *   deepest service's slots divide by its slowdown; a cold target's factor
- *   falls with what it has run, taken as running at full slots.
- * - A want that isn't served in its step waits for the next one; none is lost,
- *   so the limit can only be too high, never too low.
- * - Each step serves the cheapest operations first, which gives the highest
- *   count of requests.
- * - A service above the deepest bounds the rate by its slots over the time for
- *   which a request holds one: its own work and, without any queue, the calls
- *   below it.
+ * - Each target does `slots` milliseconds of work per millisecond. At the
+ *   deepest service this is divided by the slowdown; the factor of a cold
+ *   target decreases with the requests it has run, assuming full slots.
+ * - A user who is not served in one step waits for the next; none is lost, so
+ *   that the limit can only be too high, never too low.
+ * - Each step serves the cheapest operations first, which maximizes the count.
+ * - A service above the deepest limits the rate to its slots divided by the time
+ *   for which a request holds one: its work plus its downstream calls, without
+ *   queueing.
  */
 import {
 	capacityOf,
-	deepWork,
+	meanDeepWork,
 	type CallPlan,
 	type Deployment,
 	type Operation,
 	type ServiceRole,
 } from './deployment.js';
-import {coldFactor, warmAfter, type Scenario} from './scenario.js';
+import {coldStartFactor, warmUpRequests, type Scenario} from './scenario.js';
 
-/** Milliseconds of one step of the flow. */
+/** Length of one step of the flow in milliseconds. */
 const step = 10;
 
-/** A want, as far as the limit is concerned. */
-export type Want = {
-	/** When it arose, in milliseconds of the run. */
+/** The arrival of a user who needs one operation. */
+export type UserArrival = {
+	/** Milliseconds since the start of the run. */
 	at: number;
 	operation: Operation;
 };
 
-/** The limit for a scenario and the wants of one run, in whole requests a second. */
+/** Computes the limit for a scenario and the user arrivals of one run, in requests per second. */
 export function computeLimit(
 	deployment: Deployment,
 	scenario: Scenario,
-	wants: Want[],
+	userArrivals: UserArrival[],
 ): number {
-	const deepSlots = createDeepSlots(deployment, scenario);
-	const backlogs = createBacklogs(scenario, wants);
+	const deepCapacity = createDeepCapacity(deployment, scenario);
+	const backlogs = createBacklogs(scenario, userArrivals);
 	let served = 0;
-	for (let elapsed = 0; elapsed < scenario.trigger; elapsed += step) {
-		let slotTime = deepSlots(step);
+	for (let elapsed = 0; elapsed < scenario.triggerDuration; elapsed += step) {
+		let slotTime = deepCapacity(step);
 		for (const backlog of backlogs) {
-			backlog.arriveUntil(scenario.calm + elapsed + step);
+			backlog.arriveUntil(scenario.baselineDuration + elapsed + step);
 			const count = Math.min(backlog.waiting(), slotTime / backlog.cost);
-			backlog.take(count);
+			backlog.serve(count);
 			slotTime -= count * backlog.cost;
 			served += count;
 		}
 	}
 
-	const rate = (served * 1000) / scenario.trigger;
-	return Math.min(rate, boundAbove(deployment, scenario));
+	const rate = (served * 1000) / scenario.triggerDuration;
+	return Math.min(rate, computeUpstreamBound(deployment, scenario));
 }
 
-/** Milliseconds for which an operation holds a slot of a service, no queue anywhere. */
+/** Time for which an operation holds a slot of a service without queueing, in milliseconds. */
 export function holdingTime(
 	plan: CallPlan,
 	role: ServiceRole,
 	slowdown: number,
 ): number {
-	const own = plan.role === role ? durationOf(plan, slowdown) : 0;
-	return plan.below.reduce(
-		(sum, below) => sum + holdingTime(below, role, slowdown),
+	const own = plan.role === role ? callDuration(plan, slowdown) : 0;
+	return plan.downstreamCalls.reduce(
+		(sum, call) => sum + holdingTime(call, role, slowdown),
 		own,
 	);
 }
 
-function durationOf(plan: CallPlan, slowdown: number): number {
+function callDuration(plan: CallPlan, slowdown: number): number {
 	const work =
 		(plan.before + plan.after) * (plan.role === 'deep' ? slowdown : 1);
 	return (
 		work +
-		Math.max(0, ...plan.below.map((below) => durationOf(below, slowdown)))
+		Math.max(
+			0,
+			...plan.downstreamCalls.map((call) => callDuration(call, slowdown)),
+		)
 	);
 }
 
-/** The wants of one cost, in the order in which they arose. */
+/** Queue of the arrivals whose operations have the same cost, oldest first. */
 function createBacklog(cost: number, instants: number[]) {
 	let waiting = 0;
 	let next = 0;
 	return {
 		cost,
 		waiting: () => waiting,
-		take(count: number) {
+		serve(count: number) {
 			waiting -= count;
 		},
 		arriveUntil(instant: number) {
@@ -99,12 +101,12 @@
 	};
 }
 
-/** The wants that arise during the trigger by what they cost the deepest service, the cheapest first. */
-function createBacklogs(scenario: Scenario, wants: Want[]) {
-	const end = scenario.calm + scenario.trigger;
+/** Groups the arrivals during the trigger by their cost at the deepest service, cheapest first. */
+function createBacklogs(scenario: Scenario, userArrivals: UserArrival[]) {
+	const end = scenario.baselineDuration + scenario.triggerDuration;
 	const byCost = new Map<number, number[]>();
-	for (const {at, operation} of wants) {
-		if (at >= scenario.calm && at < end) {
+	for (const {at, operation} of userArrivals) {
+		if (at >= scenario.baselineDuration && at < end) {
 			const cost = holdingTime(operation.plan, 'deep', 1);
 			const instants = byCost.get(cost) ?? [];
 			instants.push(at);
@@ -117,19 +119,19 @@
 		.map(([cost, instants]) => createBacklog(cost, instants));
 }
 
-/** The work, in healthy milliseconds, that the deepest slots do in each next step. */
-function createDeepSlots({services}: Deployment, scenario: Scenario) {
+/** Returns a function that computes the work that the deepest service does in the next step, in milliseconds of a healthy target. */
+function createDeepCapacity({services}: Deployment, scenario: Scenario) {
 	const {targets, slots} = services.deep;
 	const run = Array.from({length: targets}, (_, target) =>
-		target < scenario.replaced ? 0 : warmAfter,
+		target < scenario.replacedTargets ? 0 : warmUpRequests,
 	);
 	return (duration: number) => {
 		let total = 0;
 		for (let target = 0; target < targets; target++) {
 			const factor =
-				scenario.slowdown(target) * warmthFactor(run[target] ?? warmAfter);
+				scenario.slowdown(target) * warmUpFactor(run[target] ?? warmUpRequests);
 			const work = (slots * duration) / factor;
-			run[target]! += work / deepWork;
+			run[target]! += work / meanDeepWork;
 			total += work;
 		}
 
@@ -137,20 +139,23 @@
 	};
 }
 
-/** How much longer a target takes that has run so many requests since it was started. */
-export function warmthFactor(run: number): number {
-	const left = Math.max(0, 1 - run / warmAfter);
-	return 1 + (coldFactor - 1) * left;
+/** Factor on the work duration of a target that has run this number of requests since its start. */
+export function warmUpFactor(run: number): number {
+	const left = Math.max(0, 1 - run / warmUpRequests);
+	return 1 + (coldStartFactor - 1) * left;
 }
 
-/** The rate that the services above the deepest allow, in requests a second. */
-function boundAbove({services}: Deployment, scenario: Scenario): number {
+/** Maximum rate that the services above the deepest allow, in requests per second. */
+function computeUpstreamBound(
+	{services}: Deployment,
+	scenario: Scenario,
+): number {
 	const {targets} = services.deep;
 	const slowdowns = Array.from({length: targets}, (_, target) =>
 		scenario.slowdown(target),
 	);
 	const slowdown = Math.min(...slowdowns);
-	const mix = mixOf(scenario);
+	const mix = operationMix(scenario);
 	const roles: ServiceRole[] = ['front', 'middle', 'side'];
 	const bounds = roles.map((role) => {
 		const holding = mix.reduce(
@@ -163,11 +168,11 @@
 	return Math.min(...bounds);
 }
 
-function mixOf(
+function operationMix(
 	scenario: Scenario,
 ): Array<{operation: Operation; share: number}> {
-	const total = scenario.surge.reduce((sum, {load}) => sum + load, 0);
-	return scenario.surge.flatMap(({load, operations}) =>
+	const total = scenario.triggerDemand.reduce((sum, {load}) => sum + load, 0);
+	return scenario.triggerDemand.flatMap(({load, operations}) =>
 		operations.map((operation) => ({
 			operation,
 			share: (operation.share * load) / total,
--- a/packages/experiment/src/chain/chain-model.ts
+++ b/packages/experiment/src/chain/chain-model.ts
@@ -1,12 +1,13 @@
 /**
- * A model of overload at the end of a call graph, on a virtual clock and without
- * a network: callers ask at entries, each request makes its calls to one deep
- * service in a row, and the targets' nodes there tell the entries a shed level.
+ * Simulates overload of the last service of a call graph, on a virtual clock and
+ * without a network: callers send requests to entry nodes, each request makes
+ * sequential calls to one deep service, and its nodes report a shed level to
+ * the entry nodes.
  *
- * Load pattern: demand above what the deep service can run, for seconds. It
- * shows whether the level settles, how much of what is run ends whole, and how
- * soon everybody is let in again. The gate, the level and the order are those
- * that nodes run.
+ * Load pattern: demand above the capacity of the deep service for seconds. The
+ * model shows whether the level settles, how many of the admitted requests
+ * complete, and how soon all requests are admitted again. Target admission, the
+ * shed level and the shedding order are those of the nodes.
  */
 import {
 	createTargetAdmission,
@@ -24,72 +25,73 @@
 	type VirtualClock,
 } from '@egretspoke/shared';
 
-/** A kind of request that callers make. */
-export type ChainKind = {
+/** A kind of request. */
+export type RequestKind = {
 	kind: string;
 	/** 0 is the highest. */
 	priority: number;
-	/** Its part of the requests. */
+	/** Relative frequency. */
 	share: number;
-	/** Calls to the deep service, one after the other. */
+	/** Sequential calls to the deep service. */
 	calls: number;
-	/** Milliseconds of a slot that each call takes, at a target of usual speed. */
+	/** Slot time of each call at a target of speed 1, in milliseconds. */
 	work: number;
-	/** Milliseconds before the first call, and between two. */
+	/** Milliseconds before the first call, and between two calls. */
 	before: number;
 	between: number;
 };
 
-/** What is played. */
+/** The simulated load and deployment. */
 export type ChainScenario = {
-	kinds: ChainKind[];
-	/** Targets of the deep service; they differ in speed by three. */
+	kinds: RequestKind[];
+	/** Number of targets of the deep service; their speeds differ by a factor of up to three. */
 	targets: number;
 	slots: number;
-	/** Milliseconds until entries hear of a level. */
+	/** Delay of level reports to the entry nodes, in milliseconds. */
 	reportDelay: number;
-	/** The demand at an instant, over what the targets can run. */
+	/** Demand at an instant, relative to the capacity of the targets. */
 	demandAt: (now: number) => number;
 	/** Milliseconds. */
 	duration: number;
 	seed: number;
 };
 
-/** What became of the requests that came in one second. */
+/** Outcomes of the requests that arrived in one second. */
 export type ChainSecond = {
-	/** Work of requests that ended whole, over what the targets can run. */
+	/** Work of completed requests, relative to the capacity of the targets. */
 	goodput: number;
 	refused: number;
 	failed: number;
-	asked: Map<string, number>;
+	/** Number of requests by kind: received, and completed. */
+	requested: Map<string, number>;
 	whole: Map<string, number>;
 };
 
 type Target = {
-	gate: TargetAdmission<Call>;
+	admission: TargetAdmission<Call>;
 	level: ShedLevel;
 	speed: number;
 };
 
 type Call = {
-	kind: ChainKind;
-	onEnd: (isWhole: boolean) => void;
+	kind: RequestKind;
+	onEnd: (isSuccessful: boolean) => void;
 };
 
-/** The speeds of targets, by turns. */
+/** Speeds of the targets, assigned cyclically. */
 const speeds = [0.5, 1, 1, 1.5];
-/** Milliseconds that a call may wait, and a request may take. */
-const patience = 180;
-const timeLimit = 1500;
+/** Maximum queue time of a call and maximum duration of a request, in milliseconds. */
+const maxWait = 180;
+const requestTimeout = 1500;
 const millisecondsPerSecond = 1000;
 
-/** Plays a scenario; gives what became of each second's requests. */
-export function playChain(scenario: ChainScenario): ChainSecond[] {
+/** Simulates a scenario; returns the outcomes by second of arrival. */
+export function simulateChain(scenario: ChainScenario): ChainSecond[] {
 	const clock = createVirtualClock();
 	const random = createRandom(scenario.seed);
 	const targets = createTargets(scenario);
 	const capacity = targets.reduce(
-		(sum, one) => sum + one.gate.limit() * one.speed,
+		(sum, target) => sum + target.admission.limit() * target.speed,
 		0,
 	);
 	const seconds: ChainSecond[] = [];
@@ -101,33 +103,36 @@
 			cost: calls * work,
 		})),
 	);
-	/** The mean level, as the entries know it. */
-	let told = 0;
+	/** The mean level last reported to the entry nodes. */
+	let reportedLevel = 0;
 
-	const secondOf = (at: number): ChainSecond => {
+	const getSecond = (at: number): ChainSecond => {
 		const index = Math.floor(at / millisecondsPerSecond);
 		seconds[index] ??= {
 			goodput: 0,
 			refused: 0,
 			failed: 0,
-			asked: new Map(),
+			requested: new Map(),
 			whole: new Map(),
 		};
 		return seconds[index];
 	};
 
-	const runRequest = (kind: ChainKind) => {
+	const runRequest = (kind: RequestKind) => {
 		const at = clock.now();
-		const second = secondOf(at);
-		count(second.asked, kind.kind);
-		if (random.fraction() < shareRefused(told, slices.get(kind.kind) ?? [])) {
+		const second = getSecond(at);
+		count(second.requested, kind.kind);
+		if (
+			random.fraction() <
+			shareRefused(reportedLevel, slices.get(kind.kind) ?? [])
+		) {
 			second.refused++;
 			return;
 		}
 
 		let left = kind.calls;
 		const callNext = () => {
-			if (clock.now() - at > timeLimit) {
+			if (clock.now() - at > requestTimeout) {
 				second.failed++;
 			} else if (left === 0) {
 				count(second.whole, kind.kind);
@@ -139,8 +144,8 @@
 			}
 		};
 
-		const onEnd = (isWhole: boolean) => {
-			if (isWhole) {
+		const onEnd = (isSuccessful: boolean) => {
+			if (isSuccessful) {
 				clock.setTimer(kind.between, callNext);
 			} else {
 				second.failed++;
@@ -153,9 +158,12 @@
 	const workOfRequest = meanWork(scenario.kinds);
 	const arrive = () => {
 		runRequest(drawKind(scenario.kinds, random));
-		const perMillisecond =
+		const arrivalsPerMillisecond =
 			(capacity / workOfRequest) * scenario.demandAt(clock.now());
-		clock.setTimer(-Math.log(1 - random.fraction()) / perMillisecond, arrive);
+		clock.setTimer(
+			-Math.log(1 - random.fraction()) / arrivalsPerMillisecond,
+			arrive,
+		);
 	};
 
 	const update = () => {
@@ -166,7 +174,7 @@
 		const mean =
 			targets.reduce((sum, {level}) => sum + level.value(), 0) / targets.length;
 		clock.setTimer(scenario.reportDelay, () => {
-			told = mean;
+			reportedLevel = mean;
 		});
 		clock.setTimer(shedPeriod, update);
 	};
@@ -179,14 +187,14 @@
 
 function createTargets({targets, slots}: ChainScenario): Target[] {
 	return Array.from({length: targets}, (_, index) => ({
-		gate: createTargetAdmission<Call>(slots),
+		admission: createTargetAdmission<Call>(slots),
 		level: createShedLevel(),
 		speed: speeds[index % speeds.length]!,
 	}));
 }
 
-/** Milliseconds of slots that a request takes, over all kinds. */
-function meanWork(kinds: ChainKind[]): number {
+/** Mean slot time of a request over all kinds, in milliseconds. */
+function meanWork(kinds: RequestKind[]): number {
 	let work = 0;
 	let total = 0;
 	for (const kind of kinds) {
@@ -197,7 +205,7 @@
 	return work / total;
 }
 
-/** The less occupied of two targets that are drawn gets the call. */
+/** Offers a call to the less occupied of two random targets. */
 function offer(
 	clock: VirtualClock,
 	random: Random,
@@ -205,12 +213,12 @@
 	call: Call,
 ): void {
 	const draw = () => targets[random.below(targets.length)]!;
-	const occupancy = ({gate}: Target) =>
-		(gate.running() + gate.waiting()) / gate.limit();
+	const occupancy = ({admission}: Target) =>
+		(admission.running() + admission.waiting()) / admission.limit();
 	const [left, right] = [draw(), draw()];
 	const target = occupancy(left) <= occupancy(right) ? left : right;
-	const request = {isNearCompletion: true, priority: 0, maxWait: patience};
-	const decision = target.gate.offer(request, call, clock.now());
+	const request = {isNearCompletion: true, priority: 0, maxWait};
+	const decision = target.admission.offer(request, call, clock.now());
 	if (decision === 'run') {
 		run(clock, random, target, call);
 	} else if (decision === 'refuse') {
@@ -224,32 +232,36 @@
 	target: Target,
 	{kind, onEnd}: Call,
 ): void {
-	const spread = 0.4 - 0.6 * Math.log(1 - random.fraction());
-	const duration = (kind.work * spread) / target.speed;
+	const workFactor = 0.4 - 0.6 * Math.log(1 - random.fraction());
+	const duration = (kind.work * workFactor) / target.speed;
 	clock.setTimer(duration, () => {
-		target.gate.finish(duration);
+		target.admission.finish(duration);
 		onEnd(true);
-		for (let next = target.gate.next(); next; next = target.gate.next()) {
+		for (
+			let next = target.admission.next();
+			next;
+			next = target.admission.next()
+		) {
 			run(clock, random, target, next);
 		}
 	});
 }
 
-function updateTarget({gate, level}: Target, now: number): void {
-	for (const call of gate.expire(now)) {
+function updateTarget({admission, level}: Target, now: number): void {
+	for (const call of admission.expire(now)) {
 		call.onEnd(false);
 	}
 
 	level.update({
-		wait: gate.expectedWait(),
-		occupancy: gate.running() / gate.limit(),
-		arriving: gate.takeArrivals() / shedPeriod,
+		wait: admission.expectedWait(),
+		occupancy: admission.running() / admission.limit(),
+		arriving: admission.takeArrivals() / shedPeriod,
 		declined: 0,
 		unserved: 0,
 	});
 }
 
-function drawKind(kinds: ChainKind[], random: Random): ChainKind {
+function drawKind(kinds: RequestKind[], random: Random): RequestKind {
 	const total = kinds.reduce((sum, {share}) => sum + share, 0);
 	let left = random.fraction() * total;
 	for (const kind of kinds) {
--- a/packages/experiment/src/deadline-wheel.ts
+++ b/packages/experiment/src/deadline-wheel.ts
@@ -1,25 +1,25 @@
 /**
- * Deadlines of attempts, by the bucket. Nearly all of them are taken back
- * before they are due; as timers of the clock they would stay in its heap
- * until then, and the run would spend its time on sorting them.
+ * Timers for the deadlines of attempts, grouped in buckets. Nearly all of them
+ * are cancelled before they expire; as timers of the clock they would stay in
+ * its heap until then, and sorting them would dominate the run time.
  */
 import type {Clock, Timer} from '@egretspoke/shared';
 
-/** Milliseconds of one bucket: an attempt is given up at most so much late. */
+/** Width of a bucket in milliseconds; a deadline fires late by at most this much. */
 const bucketSize = 2;
 
-/** Sets deadlines that are kept to within two milliseconds, never early. */
+/** Sets timers that fire at most two milliseconds late, never early. */
 export type DeadlineWheel = {
 	set(at: number, callback: () => void): Timer;
 };
 
 type Entry = {callback: () => void};
 
-/** Creates a wheel without deadlines. */
+/** Creates an empty wheel. */
 export function createDeadlineWheel(clock: Clock): DeadlineWheel {
 	const buckets = new Map<number, Set<Entry>>();
 
-	const open = (index: number) => {
+	const createBucket = (index: number) => {
 		const bucket = new Set<Entry>();
 		buckets.set(index, bucket);
 		clock.setTimer(index * bucketSize - clock.now(), () => {
@@ -35,7 +35,7 @@
 	return {
 		set(at, callback) {
 			const index = Math.ceil(at / bucketSize);
-			const bucket = buckets.get(index) ?? open(index);
+			const bucket = buckets.get(index) ?? createBucket(index);
 			const entry = {callback};
 			bucket.add(entry);
 			return {
--- a/packages/experiment/src/deployment.ts
+++ b/packages/experiment/src/deployment.ts
@@ -1,12 +1,12 @@
 /**
- * The two deployments of today: their services, targets, slots, connections,
- * data centres and one-way delays, and the operations that their users ask
- * for. The sizes are the brief's; the service times and the mix of operations
- * are assumptions, stated here and in docs/EXPERIMENT.md.
+ * The two simulated deployments: services, targets, slots, connections, data
+ * centres and one-way delays, and the operations that users request. The sizes
+ * come from the brief; the service times and the mix of operations are
+ * assumptions, stated here and in docs/EXPERIMENT.md.
  */
 import type {RequestClass} from '@egretspoke/protocol';
 
-/** The part that a service plays in the call graph, the same in both deployments. */
+/** Position of a service in the call graph, the same in both deployments. */
 export const serviceRoles = ['front', 'middle', 'side', 'deep'] as const;
 export type ServiceRole = (typeof serviceRoles)[number];
 
@@ -14,36 +14,36 @@
 export type ServiceSize = {
 	name: string;
 	targets: number;
-	/** Requests that one target runs at once. */
+	/** Requests that one target runs concurrently. */
 	slots: number;
 	/** Connections that one target accepts. */
 	connections: number;
 };
 
-/** One call in the plan of an operation, with the calls that it makes in parallel. */
+/** One call in the plan of an operation, with its parallel downstream calls. */
 export type CallPlan = {
 	role: ServiceRole;
-	/** Its name at that service; not the name of what the user asked for. */
+	/** Operation name at that service; differs from the name of the user's operation. */
 	operation: string;
-	/** Milliseconds of work before the deeper calls, on average; all there is in a leaf. */
+	/** Mean milliseconds of work before the downstream calls; all the work of a leaf. */
 	before: number;
-	/** Milliseconds of work after the deeper calls. */
+	/** Mean milliseconds of work after the downstream calls. */
 	after: number;
-	below: CallPlan[];
+	downstreamCalls: CallPlan[];
 };
 
-/** What a user can ask for. Each operation needs exactly one call to the deepest service. */
+/** An operation that users request. Each needs exactly one call to the deepest service. */
 export type Operation = {
 	requestClass: RequestClass;
 	idempotent: boolean;
-	/** Its share of the demand. */
+	/** Fraction of the demand. */
 	share: number;
-	/** Milliseconds after which whoever waits for a try of it gives that try up. */
+	/** Timeout of one try in milliseconds. */
 	tryTimeout: number;
 	plan: CallPlan;
 };
 
-/** The names under which a deployment can be asked for. */
+/** Values of `--deployment`. */
 export const deploymentNames = ['fieldline', 'akwaaba'] as const;
 export type DeploymentName = (typeof deploymentNames)[number];
 
@@ -51,30 +51,30 @@
 	name: DeploymentName;
 	dataCentres: number;
 	/** One-way milliseconds between two data centres. */
-	betweenDataCentres: number;
+	interDataCentreDelay: number;
 	/** One-way milliseconds between a client and any node. */
-	toClients: number;
+	clientDelay: number;
 	services: Record<ServiceRole, ServiceSize>;
 };
 
 /** One-way milliseconds between two VMs of one data centre (assumed). */
-export const withinDataCentre = 0.1;
+export const intraDataCentreDelay = 0.1;
 
-/** Milliseconds that a new connection costs. */
+/** Milliseconds that it takes to open a connection. */
 export const connectionCost = 1;
 
-/** Mean milliseconds of the deepest service's work (assumed). */
-export const deepWork = 100;
+/** Mean milliseconds of work per request at the deepest service (assumed). */
+export const meanDeepWork = 100;
 
-/** How much longer than an ordinary one a long operation keeps the deepest service. */
+/** Work of a long operation at the deepest service, relative to an ordinary one. */
 export const longFactor = 8;
 
 export const deployments: Record<DeploymentName, Deployment> = {
 	fieldline: {
 		name: 'fieldline',
 		dataCentres: 3,
-		betweenDataCentres: 1,
-		toClients: 8,
+		interDataCentreDelay: 1,
+		clientDelay: 8,
 		services: {
 			front: size('shift-booking', 4, 140, 950),
 			middle: size('roster-board', 5, 110, 800),
@@ -85,8 +85,8 @@
 	akwaaba: {
 		name: 'akwaaba',
 		dataCentres: 3,
-		betweenDataCentres: 0.5,
-		toClients: 1,
+		interDataCentreDelay: 0.5,
+		clientDelay: 1,
 		services: {
 			front: size('orders-and-payments', 4, 100, 680),
 			middle: size('mending-history', 5, 80, 570),
@@ -99,29 +99,29 @@
 const deep: CallPlan = {
 	role: 'deep',
 	operation: 'GET /lookup',
-	before: deepWork,
+	before: meanDeepWork,
 	after: 0,
-	below: [],
+	downstreamCalls: [],
 };
 const middle: CallPlan = {
 	role: 'middle',
 	operation: 'GET /board',
 	before: 8,
 	after: 4,
-	below: [deep],
+	downstreamCalls: [deep],
 };
 const side: CallPlan = {
 	role: 'side',
 	operation: 'GET /picture',
 	before: 20,
 	after: 0,
-	below: [],
+	downstreamCalls: [],
 };
 
-/** Milliseconds that a client waits for the answer to a try of an ordinary operation. */
+/** Client timeout of one try of an ordinary operation, in milliseconds. */
 const ordinaryTimeout = 1000;
 
-/** The ordinary mix. */
+/** The mix of ordinary operations. */
 export const operations: Operation[] = [
 	{
 		requestClass: 'essential',
@@ -133,7 +133,7 @@
 			operation: 'POST /bookings',
 			before: 4,
 			after: 2,
-			below: [middle],
+			downstreamCalls: [middle],
 		},
 	},
 	{
@@ -146,7 +146,7 @@
 			operation: 'PUT /uploads',
 			before: 20,
 			after: 4,
-			below: [middle],
+			downstreamCalls: [middle],
 		},
 	},
 	{
@@ -159,7 +159,7 @@
 			operation: 'GET /orders',
 			before: 4,
 			after: 2,
-			below: [middle, side],
+			downstreamCalls: [middle, side],
 		},
 	},
 	{
@@ -179,7 +179,7 @@
 			operation: 'GET /reports',
 			before: 4,
 			after: 2,
-			below: [middle],
+			downstreamCalls: [middle],
 		},
 	},
 ];
@@ -187,10 +187,10 @@
 const longDeep: CallPlan = {
 	...deep,
 	operation: 'GET /all',
-	before: deepWork * longFactor,
+	before: meanDeepWork * longFactor,
 };
 
-/** Long work: the same chain, with a deepest call that takes `longFactor` times as long. */
+/** A long operation: the same chain, with a deepest call that takes `longFactor` times as long. */
 export const longOperation: Operation = {
 	requestClass: 'deferrable',
 	idempotent: true,
@@ -201,14 +201,16 @@
 		operation: 'GET /archive',
 		before: 4,
 		after: 2,
-		below: [{...middle, operation: 'GET /season', below: [longDeep]}],
+		downstreamCalls: [
+			{...middle, operation: 'GET /season', downstreamCalls: [longDeep]},
+		],
 	},
 };
 
-/** Requests a second that the deepest service can run when it is healthy. */
+/** Capacity of the healthy deepest service in requests per second. */
 export function capacityOf({services}: Deployment): number {
 	const {targets, slots} = services.deep;
-	return (targets * slots * 1000) / deepWork;
+	return (targets * slots * 1000) / meanDeepWork;
 }
 
 function size(
--- a/packages/experiment/src/execution.ts
+++ b/packages/experiment/src/execution.ts
@@ -1,9 +1,10 @@
 /**
- * What an ordinary target does with one request: some work, its calls deeper
- * in parallel, some more work, the answer. It takes effect when a leaf begins
- * or when the work after the deeper calls begins. A target whose deeper call
- * is refused certifies that it did not run the request if nothing has taken
- * effect and no other deeper call is under way; else its answer is an error.
+ * Execution of one request at a simulated target: work, parallel downstream
+ * calls, more work, the answer. A request takes effect when the work of a leaf
+ * begins or when the work after the downstream calls begins. If a downstream
+ * call is refused, the target certifies that it did not run the request,
+ * provided that nothing has taken effect and no other downstream call is
+ * pending; otherwise it answers with an error.
  */
 import {ErrorCode} from '@egretspoke/protocol';
 import {
@@ -14,55 +15,55 @@
 import type {Timer} from '@egretspoke/shared';
 import type {Attempt, Call, CallEnd} from './call.js';
 import type {CallPlan} from './deployment.js';
-import {enter} from './entry.js';
-import type {Job} from './fake-target.js';
+import {routeCall} from './entry.js';
+import type {TargetRequest} from './fake-target.js';
 import type {ModelNode} from './model-node.js';
-import {drawWork, slowdownAt, type World} from './world.js';
+import {drawWork, slowdownAt, type Simulation} from './simulation.js';
 
-/** One request at its target. */
-export type Execution = Job & {
-	/** The caller has gone: stops the work, gives the slot back, cancels below. */
+/** The execution of one request at its target. */
+export type Execution = TargetRequest & {
+	/** Stops the work, releases the slot and cancels the downstream calls when the caller has gone. */
 	cancel(): void;
 };
 
-/** Where an execution belongs. */
+/** The node that runs an execution. */
 export type ExecutionHost = {
 	node: ModelNode;
-	/** The call as this node knows it. */
+	/** The facts of the call at this node. */
 	facts: CallFacts;
-	release(job: Job): void;
-	/** The end, with what the caller is told; nothing after a cancellation. */
+	release(targetRequest: TargetRequest): void;
+	/** Called at the end, with the end of the call for the caller; without one after a cancellation. */
 	end(result: Completion['result'], callEnd?: CallEnd): void;
 };
 
-/** A deeper call under way. */
+/** A pending downstream call. */
 type PendingCall = {cancel?: () => void};
 
 /** Creates an execution that waits for its slot. */
 export function createExecution(
-	world: World,
+	simulation: Simulation,
 	attempt: Attempt,
 	host: ExecutionHost,
 ): Execution {
-	const {clock, contender, tally} = world;
+	const {clock, variant, tally} = simulation;
 	const {node, facts} = host;
 	const {plan, request} = attempt.call;
-	const below = new Set<PendingCall>();
-	let working: {since: number; timer: Timer} | undefined;
-	let over = false;
+	const pendingCalls = new Set<PendingCall>();
+	let currentWork: {since: number; timer: Timer} | undefined;
+	let isOver = false;
 
 	const stopWork = () => {
-		if (working) {
-			working.timer.cancel();
-			tally.worked(request, clock.now() - working.since);
-			working = undefined;
+		if (currentWork) {
+			currentWork.timer.cancel();
+			tally.recordWork(request, clock.now() - currentWork.since);
+			currentWork = undefined;
 		}
 	};
 
 	const finish = (result: Completion['result'], end?: CallEnd) => {
-		over = true;
+		isOver = true;
 		stopWork();
-		for (const {cancel} of below) {
+		for (const {cancel} of pendingCalls) {
 			cancel?.();
 		}
 
@@ -70,13 +71,14 @@
 		host.end(result, end);
 	};
 
-	const work = (mean: number, next: () => void) => {
-		const duration = drawWork(world.workRandom, mean) * slowdownAt(world, node);
+	const runWork = (mean: number, next: () => void) => {
+		const duration =
+			drawWork(simulation.workRandom, mean) * slowdownAt(simulation, node);
 		const timer = clock.setTimer(duration, () => {
 			stopWork();
 			next();
 		});
-		working = {since: clock.now(), timer};
+		currentWork = {since: clock.now(), timer};
 	};
 
 	const succeed = () => {
@@ -85,7 +87,7 @@
 
 	const fail = (end: Exclude<CallEnd, {kind: 'answered'}>) => {
 		const {retryAfter} = end;
-		if (end.kind === 'notRun' && below.size === 0 && !attempt.hasRun) {
+		if (end.kind === 'notRun' && pendingCalls.size === 0 && !attempt.hasRun) {
 			finish('shed', {kind: 'notRun', code: ErrorCode.TargetShed, retryAfter});
 		} else {
 			finish('failed', {
@@ -96,17 +98,17 @@
 		}
 	};
 
-	const callOneBelow = (belowPlan: CallPlan, answered: () => void) => {
+	const callDownstream = (downstreamPlan: CallPlan, answered: () => void) => {
 		const pending: PendingCall = {};
-		below.add(pending);
-		const call = createCallBelow(world, attempt, {
+		pendingCalls.add(pending);
+		const call = createDownstreamCall(simulation, attempt, {
 			node,
 			facts,
-			plan: belowPlan,
+			plan: downstreamPlan,
 		});
-		pending.cancel = enter(world, node, call, (end) => {
-			below.delete(pending);
-			if (over) {
+		pending.cancel = routeCall(simulation, node, call, (end) => {
+			pendingCalls.delete(pending);
+			if (isOver) {
 				return;
 			}
 
@@ -118,18 +120,18 @@
 		});
 	};
 
-	const callBelow = () => {
-		let open = plan.below.length;
+	const startDownstreamCalls = () => {
+		let remaining = plan.downstreamCalls.length;
 		const answered = () => {
-			if (--open === 0) {
-				tally.tookEffect(attempt);
-				work(plan.after, succeed);
+			if (--remaining === 0) {
+				tally.recordEffect(attempt);
+				runWork(plan.after, succeed);
 			}
 		};
 
-		for (const belowPlan of plan.below) {
-			callOneBelow(belowPlan, answered);
-			if (over) {
+		for (const downstreamPlan of plan.downstreamCalls) {
+			callDownstream(downstreamPlan, answered);
+			if (isOver) {
 				return;
 			}
 		}
@@ -137,15 +139,15 @@
 
 	const execution: Execution = {
 		start() {
-			if (plan.below.length === 0) {
-				tally.tookEffect(attempt);
-				work(plan.before, succeed);
+			if (plan.downstreamCalls.length === 0) {
+				tally.recordEffect(attempt);
+				runWork(plan.before, succeed);
 			} else {
-				work(plan.before, callBelow);
+				runWork(plan.before, startDownstreamCalls);
 			}
 		},
 		cancel() {
-			if (!over && contender.cancels) {
+			if (!isOver && variant.cancelsDownstream) {
 				finish('cancelled');
 			}
 		},
@@ -153,8 +155,8 @@
 	return execution;
 }
 
-function createCallBelow(
-	world: World,
+function createDownstreamCall(
+	simulation: Simulation,
 	parent: Attempt,
 	at: {node: ModelNode; facts: CallFacts; plan: CallPlan},
 ): Call {
@@ -164,12 +166,12 @@
 		chain,
 		request: parent.call.request,
 		plan,
-		service: world.deployment.services[plan.role].name,
-		deadline: world.contender.callDeadline(facts.deadline),
+		service: simulation.deployment.services[plan.role].name,
+		deadline: simulation.variant.callDeadline(facts.deadline),
 		attempts: node.routing.downstreamAttempts(facts),
 		parent,
 	};
-	const priority = chainPriority(node.below, chain);
+	const priority = chainPriority(node.downstreamLevels, chain);
 	if (priority !== undefined) {
 		call.priority = priority;
 	}
--- a/packages/experiment/src/experiment.ts
+++ b/packages/experiment/src/experiment.ts
@@ -1,12 +1,12 @@
-/** One experiment: the same seeded load through each policy. */
+/** Runs the same seeded load through each policy. */
 import {computeLimit} from './capacity.js';
-import {findContender} from './contender.js';
+import {findVariant} from './policy-variant.js';
 import {deployments, type DeploymentName} from './deployment.js';
 import {computeFigures, goodputOverTime, type Figures} from './figures.js';
-import {runContender} from './run.js';
+import {runVariant} from './run.js';
 import {scenarios, type ScenarioName} from './scenario.js';
 
-/** What is run. */
+/** Input of an experiment. */
 export type ExperimentSetup = {
 	scenario: ScenarioName;
 	deployment: DeploymentName;
@@ -14,7 +14,7 @@
 	policies: string[];
 };
 
-/** What is printed: the limit, then the figures of each policy under its name. */
+/** The printed result: the limit, then the figures by policy name. */
 export type ExperimentResult = {
 	scenario: ScenarioName;
 	seed: number;
@@ -23,10 +23,10 @@
 	policies: Record<string, Figures>;
 };
 
-/** A point of the picture of goodput over time. */
+/** A point of the chart of goodput over time. */
 export type GoodputPoint = {policy: string; second: number; goodput: number};
 
-/** Runs every policy of the setup; each sees each point of its goodput handed on. */
+/** Runs every policy of the setup; `observe` receives their goodput over time. */
 export function runExperiment(
 	setup: ExperimentSetup,
 	observe?: (point: GoodputPoint) => void,
@@ -37,13 +37,13 @@
 	const policies: Record<string, Figures> = {};
 	let limit = 0;
 	for (const name of setup.policies) {
-		const contender = findContender(name);
-		if (contender === undefined) {
-			throw new RangeError(`no policy is named ${name}`);
+		const variant = findVariant(name);
+		if (variant === undefined) {
+			throw new RangeError(`unknown policy: ${name}`);
 		}
 
-		const tally = runContender(contender, deployment, scenario, seed);
-		limit = computeLimit(deployment, scenario, tally.wants);
+		const tally = runVariant(variant, deployment, scenario, seed);
+		limit = computeLimit(deployment, scenario, tally.userArrivals);
 		policies[name] = computeFigures(tally, scenario, limit);
 		if (observe) {
 			for (const point of goodputOverTime(tally, scenario)) {
@@ -61,13 +61,13 @@
 	};
 }
 
-/** What is known by policy is printed beside the rest, under the policy's name. */
-type Printable = Record<string, unknown> & {
+/** A result whose entries by policy are printed at the top level, under the policy's name. */
+type PrintableResult = Record<string, unknown> & {
 	policies: Record<string, unknown>;
 };
 
-/** The result as the one JSON object of the command; what isn't known is null. */
-export function print({policies, ...rest}: Printable): string {
+/** Formats the result as one JSON object; undefined values become null. */
+export function formatResult({policies, ...rest}: PrintableResult): string {
 	return JSON.stringify({...rest, ...policies}, (_key, value: unknown) =>
 		value === undefined ? null : value,
 	);
--- a/packages/experiment/src/fake-target.ts
+++ b/packages/experiment/src/fake-target.ts
@@ -1,24 +1,24 @@
 /**
- * A target of N slots. A request takes a connection as long as it is there and
- * a slot from its start to its end, also while it waits for calls of its own;
- * requests without a slot wait first in, first out. A request for which no
- * connection is left is refused before anything has run.
+ * A simulated target with N slots. A request occupies a connection from arrival
+ * to end, and a slot from its start to its end, including the time in which it
+ * waits for downstream calls. Requests without a slot are queued first in,
+ * first out. A request that finds no free connection is refused before it runs.
  */
 
 /** A request at the target. */
-export type Job = {
-	/** Called when the job has its slot. */
+export type TargetRequest = {
+	/** Called when a slot is assigned. */
 	start(): void;
 };
 
 export type FakeTarget = {
-	/** Takes the job in; false when no connection is left. */
-	offer(job: Job): boolean;
-	/** The job has ended or was cancelled, running or not; harmless when repeated. */
-	release(job: Job): void;
-	/** Connections open now or before: a job that needs a further one pays for it. */
+	/** Accepts or queues a request; returns false if no connection is free. */
+	offer(targetRequest: TargetRequest): boolean;
+	/** Removes an ended or cancelled request, running or waiting; idempotent. */
+	release(targetRequest: TargetRequest): void;
+	/** Whether another request needs a new connection; connections opened before are reused. */
 	needsConnection(): boolean;
-	/** How many jobs have ended with a slot. */
+	/** Number of requests that ended after they had a slot. */
 	completed(): number;
 };
 
@@ -27,42 +27,45 @@
 	slots: number,
 	connections: number,
 ): FakeTarget {
-	const waiting = new Set<Job>();
-	const running = new Set<Job>();
+	const waiting = new Set<TargetRequest>();
+	const running = new Set<TargetRequest>();
 	let completed = 0;
-	let opened = 0;
+	let openedConnections = 0;
 
-	const fill = () => {
-		for (const job of waiting) {
+	const startWaiting = () => {
+		for (const targetRequest of waiting) {
 			if (running.size >= slots) {
 				return;
 			}
 
-			waiting.delete(job);
-			running.add(job);
-			job.start();
+			waiting.delete(targetRequest);
+			running.add(targetRequest);
+			targetRequest.start();
 		}
 	};
 
 	return {
-		offer(job) {
+		offer(targetRequest) {
 			if (waiting.size + running.size >= connections) {
 				return false;
 			}
 
-			waiting.add(job);
-			opened = Math.max(opened, waiting.size + running.size);
-			fill();
+			waiting.add(targetRequest);
+			openedConnections = Math.max(
+				openedConnections,
+				waiting.size + running.size,
+			);
+			startWaiting();
 			return true;
 		},
-		release(job) {
-			waiting.delete(job);
-			if (running.delete(job)) {
+		release(targetRequest) {
+			waiting.delete(targetRequest);
+			if (running.delete(targetRequest)) {
 				completed++;
-				fill();
+				startWaiting();
 			}
 		},
-		needsConnection: () => waiting.size + running.size >= opened,
+		needsConnection: () => waiting.size + running.size >= openedConnections,
 		completed: () => completed,
 	};
 }
--- a/packages/experiment/src/figures.ts
+++ b/packages/experiment/src/figures.ts
@@ -1,66 +1,71 @@
-/** The figures of one run, from what was counted. */
+/** Computes the figures of one run from its tally. */
 import type {UserRequest} from './call.js';
-import {isHeavy, type Scenario} from './scenario.js';
+import {isHeavyCaller, type Scenario} from './scenario.js';
 import type {Tally} from './tally.js';
 
-/** What the command prints for each side. */
+/** The printed figures of one policy variant. */
 export type Figures = {
-	/** Whole requests answered within their deadline, a second, during the overload. */
+	/** Requests answered within their deadline per second, during the overload. */
 	goodput: number;
-	/** The same, as a share of the limit. */
+	/** Goodput as a fraction of the limit. */
 	goodputShare: number;
-	/** Share of the essential requests offered during the overload that were answered in time. */
+	/** Fraction of the essential requests offered during the overload that were answered in time. */
 	essentialGoodput: number;
-	/** Seconds from the trigger's end until goodput is back; undefined if it never is. */
+	/** Seconds from the end of the trigger until goodput has recovered; undefined if it never does. */
 	recoverySeconds: number | undefined;
-	/** Calls arriving at the deepest service for each request offered, during the overload. */
+	/** Calls arriving at the deepest service per offered request, during the overload. */
 	amplification: number;
-	/** Attempts of the whole run that were said not to have run and had. */
+	/** Attempts of the whole run that were reported as not run but ran. */
 	notRunThatRan: number;
-	/** Requests of the whole run that took effect twice and must not. */
+	/** Non-idempotent requests of the whole run that took effect more than once. */
 	ranTwice: number;
-	/** Share of the targets' work, for requests offered during the overload, spent on those that failed. */
+	/** Fraction of the targets' work on requests offered during the overload that was spent on failed ones. */
 	wastedWork: number;
-	/** Requests offered a second during the overload, repeated ones of one user included. */
+	/** Requests offered per second during the overload, including repeated ones of one user. */
 	offered: number;
 	/** Goodput before the trigger. */
 	goodputBefore: number;
-	/** Goodput of the last ten seconds of the run. */
+	/** Goodput in the last ten seconds of the run. */
 	goodputAtEnd: number;
-	/** Share of requests answered, of the callers within their share and of the heavy ones. */
+	/** Fractions of answered requests of callers within their fair share, and of heavy callers. */
 	answeredWithinShare: number;
 	answeredOverShare: number | undefined;
-	/** 99th percentile of the calls to the deepest service in milliseconds, of all and of the healthy targets. */
+	/** 99th percentile of the duration of calls to the deepest service in milliseconds, for all and for healthy targets. */
 	deepTime99: number | undefined;
 	deepTime99Healthy: number | undefined;
-	/** The first of the two over the second. */
+	/** `deepTime99` divided by `deepTime99Healthy`. */
 	deepTimeRatio: number | undefined;
 };
 
 type Span = {begin: number; end: number};
 
-/** Works the figures out. */
+/** Computes the figures. */
 export function computeFigures(
 	tally: Tally,
 	scenario: Scenario,
 	limit: number,
 ): Figures {
 	const overload = {
-		begin: scenario.calm,
-		end: scenario.calm + scenario.trigger,
+		begin: scenario.baselineDuration,
+		end: scenario.baselineDuration + scenario.triggerDuration,
 	};
-	const before = {begin: scenario.calm / 2, end: scenario.calm};
-	const runEnd = overload.end + scenario.aftermath;
-	const offered = tally.requests.filter(({sentAt}) => isIn(overload, sentAt));
+	const before = {
+		begin: scenario.baselineDuration / 2,
+		end: scenario.baselineDuration,
+	};
+	const runEnd = overload.end + scenario.recoveryDuration;
+	const offered = tally.requests.filter(({sentAt}) =>
+		isWithin(overload, sentAt),
+	);
 	const answers = answerInstants(tally.requests);
-	const goodputBefore = rateIn(before, answers);
-	const arrivals = tally.deepArrivals.filter((at) => isIn(overload, at));
-	const within = offered.filter(({caller}) => !isHeavy(caller));
-	const heavy = offered.filter(({caller}) => isHeavy(caller));
+	const goodputBefore = rateWithin(before, answers);
+	const arrivals = tally.deepArrivals.filter((at) => isWithin(overload, at));
+	const within = offered.filter(({caller}) => !isHeavyCaller(caller));
+	const heavy = offered.filter(({caller}) => isHeavyCaller(caller));
 	return {
-		goodput: rounded(rateIn(overload, answers)),
-		goodputShare: rounded(rateIn(overload, answers) / limit),
-		essentialGoodput: rounded(
+		goodput: round(rateWithin(overload, answers)),
+		goodputShare: round(rateWithin(overload, answers) / limit),
+		essentialGoodput: round(
 			answeredShare(
 				offered.filter(({operation}) => operation.requestClass === 'essential'),
 			),
@@ -69,29 +74,32 @@
 			begin: overload.end,
 			end: runEnd,
 		}),
-		amplification: rounded(arrivals.length / offered.length),
+		amplification: round(arrivals.length / offered.length),
 		notRunThatRan: tally.notRunThatRan(),
 		ranTwice: tally.ranTwice(),
-		wastedWork: rounded(wastedShare(offered)),
-		offered: rounded((offered.length * 1000) / scenario.trigger),
-		goodputBefore: rounded(goodputBefore),
-		goodputAtEnd: rounded(
-			rateIn({begin: runEnd - 10_000, end: runEnd}, answers),
+		wastedWork: round(wastedShare(offered)),
+		offered: round((offered.length * 1000) / scenario.triggerDuration),
+		goodputBefore: round(goodputBefore),
+		goodputAtEnd: round(
+			rateWithin({begin: runEnd - 10_000, end: runEnd}, answers),
 		),
-		answeredWithinShare: rounded(answeredShare(within)),
+		answeredWithinShare: round(answeredShare(within)),
 		answeredOverShare:
-			heavy.length === 0 ? undefined : rounded(answeredShare(heavy)),
+			heavy.length === 0 ? undefined : round(answeredShare(heavy)),
 		...deepTimes(tally, scenario, overload),
 	};
 }
 
-/** Goodput in each half second of the run, in requests a second. */
+/** Goodput in each half second of the run, in requests per second. */
 export function goodputOverTime(
 	tally: Tally,
 	scenario: Scenario,
 ): Array<{second: number; goodput: number}> {
 	const answers = answerInstants(tally.requests);
-	const runEnd = scenario.calm + scenario.trigger + scenario.aftermath;
+	const runEnd =
+		scenario.baselineDuration +
+		scenario.triggerDuration +
+		scenario.recoveryDuration;
 	const bin = 500;
 	const counts = Array.from({length: runEnd / bin}, () => 0);
 	for (const at of answers) {
@@ -104,36 +112,38 @@
 	}));
 }
 
-/** Milliseconds over which goodput is looked at, and by which the look moves on. */
+/** Length and step of the sliding window over goodput, in milliseconds. */
 const recoveryWindow = 1000;
 const recoveryStep = 100;
-/** Milliseconds for which it must stay back. */
-const recoveryHold = 5000;
-/** The share of the goodput before that counts as being back. */
+/** Milliseconds for which goodput must stay recovered. */
+const recoveryHoldDuration = 5000;
+/** Fraction of the goodput before the trigger that counts as recovered. */
 const recoveredShare = 0.95;
 
 /**
- * The first instant at which goodput is back, over the last second or since
- * the trigger's end, and from which it stays back on average for five seconds
- * more: a moment of luck in a collapse is no recovery.
+ * Finds the first instant at which goodput has recovered, over the last second
+ * or since the end of the trigger, and after which its mean over five seconds
+ * stays recovered: a short peak during a collapse is no recovery. Returns
+ * seconds since the end of the trigger.
  */
 export function findRecovery(
 	answers: number[],
 	goodputBefore: number,
 	span: Span,
 ): number | undefined {
-	const enough = goodputBefore * recoveredShare;
+	const threshold = goodputBefore * recoveredShare;
 	for (
 		let end = span.begin + recoveryStep;
-		end + recoveryHold <= span.end;
+		end + recoveryHoldDuration <= span.end;
 		end += recoveryStep
 	) {
 		const begin = Math.max(span.begin, end - recoveryWindow);
 		if (
-			rateIn({begin, end}, answers) >= enough &&
-			rateIn({begin: end, end: end + recoveryHold}, answers) >= enough
+			rateWithin({begin, end}, answers) >= threshold &&
+			rateWithin({begin: end, end: end + recoveryHoldDuration}, answers) >=
+				threshold
 		) {
-			return rounded((end - span.begin) / 1000);
+			return round((end - span.begin) / 1000);
 		}
 	}
 
@@ -150,13 +160,13 @@
 		.toSorted((left, right) => left - right);
 }
 
-/** Answers a second within a span; the instants are sorted. */
-function rateIn({begin, end}: Span, sorted: number[]): number {
-	const count = firstNotBefore(sorted, end) - firstNotBefore(sorted, begin);
+/** Answers per second within a span; expects sorted instants. */
+function rateWithin({begin, end}: Span, sorted: number[]): number {
+	const count = lowerBound(sorted, end) - lowerBound(sorted, begin);
 	return (count * 1000) / (end - begin);
 }
 
-function firstNotBefore(sorted: number[], instant: number): number {
+function lowerBound(sorted: number[], instant: number): number {
 	let low = 0;
 	let high = sorted.length;
 	while (low < high) {
@@ -171,18 +181,18 @@
 	return low;
 }
 
-function isIn({begin, end}: Span, instant: number): boolean {
+function isWithin({begin, end}: Span, instant: number): boolean {
 	return instant >= begin && instant < end;
 }
 
-function wasAnswered({answeredAt, deadline}: UserRequest): boolean {
+function isAnsweredInTime({answeredAt, deadline}: UserRequest): boolean {
 	return answeredAt !== undefined && answeredAt <= deadline;
 }
 
 function answeredShare(requests: UserRequest[]): number {
 	return requests.length === 0
 		? 1
-		: requests.filter((request) => wasAnswered(request)).length /
+		: requests.filter((request) => isAnsweredInTime(request)).length /
 				requests.length;
 }
 
@@ -191,14 +201,16 @@
 	let wasted = 0;
 	for (const request of requests) {
 		all += request.work;
-		wasted += wasAnswered(request) ? 0 : request.work;
+		wasted += isAnsweredInTime(request) ? 0 : request.work;
 	}
 
 	return all === 0 ? 0 : wasted / all;
 }
 
 function deepTimes(tally: Tally, scenario: Scenario, overload: Span) {
-	const calls = tally.deepCalls.filter(({endedAt}) => isIn(overload, endedAt));
+	const calls = tally.deepCalls.filter(({endedAt}) =>
+		isWithin(overload, endedAt),
+	);
 	const healthy = calls.filter(({index}) => scenario.slowdown(index) === 1);
 	const deepTime99 = percentile99(calls.map(({duration}) => duration));
 	const deepTime99Healthy = percentile99(healthy.map(({duration}) => duration));
@@ -208,16 +220,16 @@
 		deepTimeRatio:
 			deepTime99 === undefined || deepTime99Healthy === undefined
 				? undefined
-				: rounded(deepTime99 / deepTime99Healthy),
+				: round(deepTime99 / deepTime99Healthy),
 	};
 }
 
 function percentile99(values: number[]): number | undefined {
 	const sorted = values.toSorted((left, right) => left - right);
 	const value = sorted[Math.ceil(sorted.length * 0.99) - 1];
-	return value === undefined ? undefined : rounded(value);
+	return value === undefined ? undefined : round(value);
 }
 
-function rounded(value: number): number {
+function round(value: number): number {
 	return Math.round(value * 10_000) / 10_000;
 }
--- a/packages/experiment/src/home.ts
+++ b/packages/experiment/src/home.ts
@@ -1,57 +1,57 @@
 /**
- * The node that a client speaks to, as the home of its requests' keys: while
- * an attempt of a key is running it starts no other, and it repeats the answer
- * of one that has run. What goes wrong without it: a client that waited in
- * vain sends its payment again, and both run. The naive version has no such
- * memory. The real ledger, with its expiry and its bounds, is a package of its
- * own; the run is too short for either.
+ * The node to which a client sends its requests, as the home of their
+ * idempotency keys: it starts no second attempt of a key while one is running,
+ * and repeats the outcome of one that has run. Without it, a client that times
+ * out sends its payment again and both attempts run. The naive variant does not
+ * track keys. The real ledger, with its expiry and its bounds, is a separate
+ * package; a run is too short for either.
  */
 import {ErrorCode} from '@egretspoke/protocol';
 import type {Attempt, CallEnd, UserRequest} from './call.js';
-import {enter} from './entry.js';
-import type {World} from './world.js';
+import {routeCall} from './entry.js';
+import type {Simulation} from './simulation.js';
 
-/** The door of one place in the deployment. */
+/** The entry point for the clients of one place in the deployment. */
 export type Home = {
-	/** Takes a client's try; the returned function tells that the client has gone. */
+	/** Handles a client's try; the returned function reports that the client disconnected. */
 	handle(attempt: Attempt, done: (end: CallEnd) => void): () => void;
 };
 
-/** Milliseconds after which a client may ask again for a request that is running. */
-const stillRunningRetry = 250;
+/** Retry-after time for a request that is still running, in milliseconds. */
+const stillRunningRetryAfter = 250;
 
 const stillRunning: CallEnd = {
 	kind: 'unknown',
 	code: ErrorCode.StillRunning,
-	retryAfter: stillRunningRetry,
+	retryAfter: stillRunningRetryAfter,
 };
 
-/** Creates the door of the node at a place. */
-export function createHome(world: World, place: number): Home {
-	const known = new Map<UserRequest, CallEnd>();
-	const {contender} = world;
+/** Creates the home at a place. */
+export function createHome(simulation: Simulation, place: number): Home {
+	const recordedEnds = new Map<UserRequest, CallEnd>();
+	const {variant} = simulation;
 
 	return {
 		handle(attempt, done) {
 			const {call} = attempt;
-			const node = world.nodes[place]!;
+			const node = simulation.nodes[place]!;
 			const {request} = call;
-			if (!contender.remembersKeys || request.operation.idempotent) {
-				return enter(world, node, {...call, parent: attempt}, done);
+			if (!variant.deduplicatesKeys || request.operation.idempotent) {
+				return routeCall(simulation, node, {...call, parent: attempt}, done);
 			}
 
-			const earlier = known.get(request);
-			if (earlier) {
-				done(earlier);
+			const recordedEnd = recordedEnds.get(request);
+			if (recordedEnd) {
+				done(recordedEnd);
 				return () => undefined;
 			}
 
-			known.set(request, stillRunning);
-			return enter(world, node, {...call, parent: attempt}, (end) => {
+			recordedEnds.set(request, stillRunning);
+			return routeCall(simulation, node, {...call, parent: attempt}, (end) => {
 				if (end.kind === 'notRun') {
-					known.delete(request);
+					recordedEnds.delete(request);
 				} else {
-					known.set(request, end);
+					recordedEnds.set(request, end);
 				}
 
 				done(end);
--- a/packages/experiment/src/mechanism-table.ts
+++ b/packages/experiment/src/mechanism-table.ts
@@ -1,8 +1,8 @@
-/** The worth of each mechanism: the same load with one switched off at a time. */
+/** Shows the effect of each mechanism: the same load with one mechanism disabled at a time. */
 import {mechanisms} from '@egretspoke/decisions';
 import type {ExperimentSetup} from './experiment.js';
 import type {Figures} from './figures.js';
-import {runSweep, type FigureSpreads} from './sweep.js';
+import {runSweep, type FigureSummaries} from './sweep.js';
 
 const columns: Array<{heading: string; field: keyof Figures}> = [
 	{heading: 'goodput / limit', field: 'goodputShare'},
@@ -14,8 +14,8 @@
 	{heading: 'slow / healthy p99', field: 'deepTimeRatio'},
 ];
 
-/** The table as markdown, one row each for naive, ours, and ours without one mechanism. */
-export function writeMechanismTable(
+/** Runs all variants and formats a Markdown table: naive, ours, and ours without each mechanism. */
+export function formatMechanismTable(
 	setup: Omit<ExperimentSetup, 'seed' | 'policies'>,
 	seeds: number[],
 ): string {
@@ -38,7 +38,7 @@
 	].join('\n');
 }
 
-function formatRow(figures: FigureSpreads): string[] {
+function formatRow(figures: FigureSummaries): string[] {
 	return columns.map(({field}) => {
 		const {median} = figures[field];
 		return median === undefined ? 'none' : String(median);
--- a/packages/experiment/src/plot.ts
+++ b/packages/experiment/src/plot.ts
@@ -1,11 +1,11 @@
-/** Goodput over time as a picture, the same bytes for the same points. */
+/** Draws goodput over time; the output is byte-identical for the same points. */
 import {line, plot, rectX, ruleY, selectLast, text} from '@observablehq/plot';
 import {parseHTML} from 'linkedom';
 import type {GoodputPoint} from './experiment.js';
 import type {Scenario} from './scenario.js';
 
-/** What the picture shows. */
-export type GoodputPicture = {
+/** The content of the chart. */
+export type GoodputChart = {
 	title: string;
 	scenario: Scenario;
 	limitGoodput: number;
@@ -14,21 +14,23 @@
 
 const millisecondsPerSecond = 1000;
 
-/** Without it a viewer does not take the file for a picture. */
+/** Viewers do not recognize the file as an image without the namespace. */
 const namespace = 'http://www.w3.org/2000/svg';
 
-/** Draws the picture as the text of an SVG file. */
-export function drawGoodput(picture: GoodputPicture): string {
-	const {scenario, points, limitGoodput, title} = picture;
-	// Without the browser's library there is no type for a document; the plotting library accepts linkedom's.
+/** Draws the chart and returns the text of an SVG file. */
+export function drawGoodput(chart: GoodputChart): string {
+	const {scenario, points, limitGoodput, title} = chart;
+	// The compiler options exclude the DOM library, so Document has no type; Plot accepts linkedom's.
 	const {document} = parseHTML(
 		'<!doctype html><html><body></body></html>',
 	) as unknown as {
 		document: never;
 	};
 	const trigger = {
-		begin: scenario.calm / millisecondsPerSecond,
-		end: (scenario.calm + scenario.trigger) / millisecondsPerSecond,
+		begin: scenario.baselineDuration / millisecondsPerSecond,
+		end:
+			(scenario.baselineDuration + scenario.triggerDuration) /
+			millisecondsPerSecond,
 	};
 	const figure = plot({
 		document,
@@ -36,7 +38,7 @@
 		height: 360,
 		ariaLabel: title,
 		x: {label: 'seconds'},
-		y: {label: 'whole requests a second', grid: true, zero: true},
+		y: {label: 'goodput (requests per second)', grid: true, zero: true},
 		color: {legend: false, scheme: 'Dark2'},
 		marks: [
 			rectX([trigger], {x1: 'begin', x2: 'end', fill: '#eee'}),
--- a/packages/experiment/src/scenario.ts
+++ b/packages/experiment/src/scenario.ts
@@ -1,11 +1,12 @@
 /**
- * The load patterns. Each runs calmly for a while, then its trigger comes and
- * goes, then it runs on for longer than any trigger, so that an overload that
- * outlasts its cause is seen as such (Bronson et al., HotOS 2021).
+ * The load patterns. Each has a baseline period, a trigger period and a recovery
+ * period. Except in `light`, the recovery period is longer than any trigger, so
+ * that an overload that outlasts its cause is visible (Bronson et al., HotOS
+ * 2021).
  */
 import {longOperation, operations, type Operation} from './deployment.js';
 
-/** The names under which a load pattern can be asked for. */
+/** Values of `--scenario`. */
 export const scenarioNames = [
 	'burst',
 	'heavy-callers',
@@ -18,9 +19,9 @@
 ] as const;
 export type ScenarioName = (typeof scenarioNames)[number];
 
-/** A stream of demand of its own, such as that of a few heavy callers. */
+/** A separate stream of demand, such as that of a few heavy callers. */
 export type Demand = {
-	/** Wants a second, as a share of the healthy capacity. */
+	/** Rate of user arrivals, relative to the capacity of the healthy deepest service. */
 	load: number;
 	operations: Operation[];
 	callers: string[];
@@ -29,90 +30,102 @@
 /** One load pattern. */
 export type Scenario = {
 	name: ScenarioName;
-	/** Milliseconds of calm before the trigger. */
-	calm: number;
-	/** Milliseconds from the trigger's begin to its end. */
-	trigger: number;
-	/** Milliseconds that the run goes on after the trigger. */
-	aftermath: number;
+	/** Milliseconds before the trigger. */
+	baselineDuration: number;
+	/** Milliseconds from the start of the trigger to its end. */
+	triggerDuration: number;
+	/** Milliseconds of the run after the trigger. */
+	recoveryDuration: number;
 	/** The demand before and after the trigger. */
-	base: Demand[];
+	baselineDemand: Demand[];
 	/** The demand during the trigger. */
-	surge: Demand[];
-	/** How many of the deepest targets are replaced by cold ones when the trigger begins. */
-	replaced: number;
-	/** By how much the work of one of the deepest targets takes longer during the trigger. */
+	triggerDemand: Demand[];
+	/** Number of targets of the deepest service that are replaced by cold ones at the start of the trigger. */
+	replacedTargets: number;
+	/** Factor on the work duration of a target of the deepest service during the trigger. */
 	slowdown(target: number): number;
 };
 
-/** How much longer than a warm one a target takes for its first request. */
-export const coldFactor = 8;
+/** Work duration of the first request of a cold target, relative to a warm one. */
+export const coldStartFactor = 8;
 
-/** After so many requests a cold target is warm; in between, its factor falls evenly. */
-export const warmAfter = 300;
+/** Number of requests after which a cold target is warm; its factor decreases linearly until then. */
+export const warmUpRequests = 300;
 
-/** Callers that each keep within an equal share. */
+/** Callers that stay within an equal share each. */
 const callers = Array.from({length: 40}, (_, index) => `caller-${index + 1}`);
 const heavyCallers = ['heavy-1', 'heavy-2', 'heavy-3'];
 
 const ordinary = (load: number): Demand => ({load, operations, callers});
 
-const usual = {
-	calm: 5000,
-	trigger: 12_000,
-	aftermath: 33_000,
-	base: [ordinary(0.6)],
+const commonSettings = {
+	baselineDuration: 5000,
+	triggerDuration: 12_000,
+	recoveryDuration: 33_000,
+	baselineDemand: [ordinary(0.6)],
 	slowdown: () => 1,
-	replaced: 0,
+	replacedTargets: 0,
 };
 
 export const scenarios: Record<ScenarioName, Scenario> = {
-	burst: {...usual, name: 'burst', trigger: 5000, surge: [ordinary(4)]},
+	burst: {
+		...commonSettings,
+		name: 'burst',
+		triggerDuration: 5000,
+		triggerDemand: [ordinary(4)],
+	},
 	'heavy-callers': {
-		...usual,
+		...commonSettings,
 		name: 'heavy-callers',
-		base: [ordinary(0.5)],
-		surge: [ordinary(0.5), {load: 1.3, operations, callers: heavyCallers}],
+		baselineDemand: [ordinary(0.5)],
+		triggerDemand: [
+			ordinary(0.5),
+			{load: 1.3, operations, callers: heavyCallers},
+		],
 	},
 	'slow-target': {
-		...usual,
+		...commonSettings,
 		name: 'slow-target',
-		base: [ordinary(0.5)],
-		surge: [ordinary(0.5)],
+		baselineDemand: [ordinary(0.5)],
+		triggerDemand: [ordinary(0.5)],
 		slowdown: (target) => (target === 0 ? 10 : 1),
 	},
 	'long-among-short': {
-		...usual,
+		...commonSettings,
 		name: 'long-among-short',
-		surge: [
+		triggerDemand: [
 			ordinary(0.6),
 			{load: 1 / 8, operations: [{...longOperation, share: 1}], callers},
 		],
 	},
-	saturation: {...usual, name: 'saturation', surge: [ordinary(2)]},
+	saturation: {
+		...commonSettings,
+		name: 'saturation',
+		triggerDemand: [ordinary(2)],
+	},
 	'deep-slowdown': {
-		...usual,
+		...commonSettings,
 		name: 'deep-slowdown',
-		surge: [ordinary(0.9)],
+		triggerDemand: [ordinary(0.9)],
 		slowdown: () => 3,
 	},
 	'cold-start': {
-		...usual,
+		...commonSettings,
 		name: 'cold-start',
-		trigger: 10_000,
-		surge: [ordinary(0.6)],
-		replaced: 2,
+		triggerDuration: 10_000,
+		triggerDemand: [ordinary(0.6)],
+		replacedTargets: 2,
 	},
 	light: {
-		...usual,
+		...commonSettings,
 		name: 'light',
-		aftermath: 6000,
-		base: [ordinary(0.3)],
-		surge: [ordinary(0.3)],
+		recoveryDuration: 6000,
+		baselineDemand: [ordinary(0.3)],
+		triggerDemand: [ordinary(0.3)],
 	},
 };
 
-/** Whether a caller is one of the few that ask for more than their share. */
-export function isHeavy(caller: string): boolean {
+/** Whether a caller is one of the few that exceed their share. */
+export function isHeavyCaller(caller: string): boolean {
 	return heavyCallers.includes(caller);
 }
--- a/packages/experiment/src/tally.ts
+++ b/packages/experiment/src/tally.ts
@@ -1,15 +1,15 @@
 /**
- * Counts what happens in a run and checks two promises as it goes: nothing
- * that was said not to have run has run, and nothing runs twice that must run
+ * Records the events of a run and checks two guarantees: an attempt that was
+ * reported as not run has not run, and a non-idempotent request runs at most
  * once.
  */
 import type {AttemptResult} from '@egretspoke/decisions';
 import type {Attempt, UserRequest} from './call.js';
-import type {Want} from './capacity.js';
+import type {UserArrival} from './capacity.js';
 
-/** A call to the deepest service as its caller saw it. */
+/** A call to the deepest service, as observed by its caller. */
 export type DeepCall = {
-	/** The number of the target among those of its service. */
+	/** Index of the target among those of its service. */
 	index: number;
 	endedAt: number;
 	duration: number;
@@ -17,53 +17,57 @@
 
 /** The record of one run. */
 export type Tally = {
-	/** Every want that arose; the same for every policy. */
-	wants: Want[];
+	/** All user arrivals; the same for every policy. */
+	userArrivals: UserArrival[];
 	requests: UserRequest[];
 	deepCalls: DeepCall[];
 	/** Instants at which a call arrived at a node of the deepest service. */
 	deepArrivals: number[];
-	/** Attempts that were said not to have run, and had, or did later. */
+	/** Number of attempts that were reported as not run but had run or ran later. */
 	notRunThatRan(): number;
-	/** Requests that may not be repeated and took effect more than once at a service. */
+	/** Number of non-idempotent requests that took effect more than once at a service. */
 	ranTwice(): number;
-	requestSent(request: UserRequest): void;
-	reachedDeepest(): void;
-	/** A target worked for a request, in milliseconds. */
-	worked(request: UserRequest, duration: number): void;
-	tookEffect(attempt: Attempt): void;
-	saidNotRun(attempt: Attempt): void;
-	attemptEnded(attempt: Attempt, index: number, result: AttemptResult): void;
+	recordRequest(request: UserRequest): void;
+	recordDeepArrival(): void;
+	/** Adds the work of a target for a request, in milliseconds. */
+	recordWork(request: UserRequest, duration: number): void;
+	recordEffect(attempt: Attempt): void;
+	recordNotRun(attempt: Attempt): void;
+	recordAttemptEnd(
+		attempt: Attempt,
+		index: number,
+		result: AttemptResult,
+	): void;
 };
 
 /** Creates an empty record. */
 export function createTally(now: () => number): Tally {
-	const wants: Want[] = [];
+	const userArrivals: UserArrival[] = [];
 	const requests: UserRequest[] = [];
 	const deepCalls: DeepCall[] = [];
 	const deepArrivals: number[] = [];
-	const lies = new Set<Attempt>();
+	const falseNotRun = new Set<Attempt>();
 
 	return {
-		wants,
+		userArrivals,
 		requests,
 		deepCalls,
 		deepArrivals,
-		notRunThatRan: () => lies.size,
+		notRunThatRan: () => falseNotRun.size,
 		ranTwice: () =>
 			requests.filter(({effects}) =>
 				[...(effects?.values() ?? [])].some((count) => count > 1),
 			).length,
-		requestSent(request) {
+		recordRequest(request) {
 			requests.push(request);
 		},
-		reachedDeepest() {
+		recordDeepArrival() {
 			deepArrivals.push(now());
 		},
-		worked(request, duration) {
+		recordWork(request, duration) {
 			request.work += duration;
 		},
-		tookEffect(attempt) {
+		recordEffect(attempt) {
 			countEffect(attempt);
 			for (
 				let each: Attempt | undefined = attempt;
@@ -71,18 +75,18 @@
 				each = each.call.parent
 			) {
 				each.hasRun = true;
-				if (each.saidNotRun) {
-					lies.add(each);
+				if (each.reportedNotRun) {
+					falseNotRun.add(each);
 				}
 			}
 		},
-		saidNotRun(attempt) {
-			attempt.saidNotRun = true;
+		recordNotRun(attempt) {
+			attempt.reportedNotRun = true;
 			if (attempt.hasRun) {
-				lies.add(attempt);
+				falseNotRun.add(attempt);
 			}
 		},
-		attemptEnded(attempt, index, {result, duration}) {
+		recordAttemptEnd(attempt, index, {result, duration}) {
 			if (attempt.call.plan.role === 'deep' && result !== 'notRun') {
 				deepCalls.push({index, endedAt: now(), duration});
 			}
--- a/packages/experiment/src/users.ts
+++ b/packages/experiment/src/users.ts
@@ -1,72 +1,70 @@
 /**
- * The users and their clients, the same for both sides. A user wants one
- * thing, and the want lives on until it is served or abandoned:
+ * Simulates users and their clients, the same for every policy. A user arrives,
+ * needs one operation and leaves once it is answered or abandoned:
  *
- * - The client sends a request with a deadline of three seconds. It waits one
- *   second for the answer to a try, and tries at once up to three times. For a
- *   long operation all times of waiting are five times as long.
- * - Half of the clients honour Retry-After: they wait as told before the next
- *   try, and give the request up if that is past its deadline. The others
- *   retry at once whatever they are told.
- * - After a request has failed the user thinks for two to four seconds (one
- *   who was told to come back later waits at least that long, if the client
- *   honours it) and sends a new request. Ten seconds after the want arose it
- *   is abandoned.
- * - A repeated try carries the key of its request; a new request has a new one.
+ * - The client sends a request with a deadline of three seconds and makes up to
+ *   three tries, each with a timeout of one second and without backoff. All
+ *   timeouts of a long operation are five times as long.
+ * - Half of the clients honour Retry-After: they delay the next try, or fail the
+ *   request if the delay exceeds its deadline. The others retry immediately.
+ * - After a failed request the user waits a think time of two to four seconds
+ *   (at least the retry-after time if the client honours it) and sends a new
+ *   request. The user abandons ten seconds after the arrival.
+ * - The tries of a request share its idempotency key; a new request has a new key.
  */
 import type {Random} from '@egretspoke/shared';
 import type {Attempt, CallEnd, UserRequest} from './call.js';
 import type {Operation} from './deployment.js';
 import type {Home} from './home.js';
 import type {Demand} from './scenario.js';
-import type {World} from './world.js';
+import type {Simulation} from './simulation.js';
 
-/** Tries of one request, the first one included. */
+/** Maximum tries of one request, including the first. */
 const clientTries = 3;
 
-/** How many times the wait for a try a request's deadline is away. */
-const deadlineTries = 3;
+/** Deadline of a request, as a multiple of the try timeout. */
+const deadlineFactor = 3;
 
-/** How many times the wait for a try a user keeps a want up. */
-const patienceTries = 10;
+/** Time from a user's arrival until the user abandons, as a multiple of the try timeout. */
+const abandonmentFactor = 10;
 
-/** Milliseconds that a user thinks before a new request: the least, and the span above it. */
-const thinkLeast = 2000;
-const thinkSpan = 2000;
+/** Think time before a new request in milliseconds: the minimum, and the range of the uniform addition. */
+const minThinkTime = 2000;
+const thinkTimeSpread = 2000;
 
-/** The share of clients that honour Retry-After. */
-const honouringShare = 0.5;
+/** Fraction of clients that honour Retry-After. */
+const honouringRatio = 0.5;
 
-/** A user with a want. */
+/** A user who needs one operation. */
 type User = {
 	operation: Operation;
 	caller: string;
-	honours: boolean;
-	/** The node that the client speaks to. */
+	honoursRetryAfter: boolean;
+	/** The node to which the client sends its requests. */
 	home: Home;
 	abandonsAt: number;
 	random: Random;
 };
 
-/** When and how fast wants arise. */
+/** Period and rate of user arrivals. */
 export type DemandSpan = {
 	begin: number;
 	end: number;
-	/** Wants a second. */
+	/** User arrivals per second. */
 	rate: number;
 	random: Random;
 };
 
-/** Lets wants arise, as a Poisson process, until the run is over. */
+/** Schedules user arrivals as a Poisson process until the end of the period. */
 export function startDemand(
-	world: World,
+	simulation: Simulation,
 	homes: Home[],
 	demand: Demand,
 	span: DemandSpan,
 ): void {
-	const {clock} = world;
+	const {clock} = simulation;
 	const {begin, end, rate, random} = span;
-	const arise = () => {
+	const scheduleArrival = () => {
 		const wait = (-Math.log(1 - random.fraction()) * 1000) / rate;
 		const at = Math.max(clock.now(), begin) + wait;
 		if (at >= end) {
@@ -74,18 +72,21 @@
 		}
 
 		clock.setTimer(at - clock.now(), () => {
-			const user = createUser(world, homes, demand, random);
-			world.tally.wants.push({at: clock.now(), operation: user.operation});
-			press(world, user);
-			arise();
+			const user = createUser(simulation, homes, demand, random);
+			simulation.tally.userArrivals.push({
+				at: clock.now(),
+				operation: user.operation,
+			});
+			sendNewRequest(simulation, user);
+			scheduleArrival();
 		});
 	};
 
-	arise();
+	scheduleArrival();
 }
 
 function createUser(
-	world: World,
+	simulation: Simulation,
 	homes: Home[],
 	demand: Demand,
 	random: Random,
@@ -94,9 +95,10 @@
 	return {
 		operation,
 		caller: demand.callers[random.below(demand.callers.length)]!,
-		honours: random.fraction() < honouringShare,
+		honoursRetryAfter: random.fraction() < honouringRatio,
 		home: homes[random.below(homes.length)]!,
-		abandonsAt: world.clock.now() + patienceTries * operation.tryTimeout,
+		abandonsAt:
+			simulation.clock.now() + abandonmentFactor * operation.tryTimeout,
 		random: random.fork(),
 	};
 }
@@ -113,41 +115,41 @@
 	return operations.at(-1)!;
 }
 
-/** The user sends a new request. */
-function press(world: World, user: User): void {
-	const {clock, tally} = world;
+/** Sends a new request of the user. */
+function sendNewRequest(simulation: Simulation, user: User): void {
+	const {clock, tally} = simulation;
 	const now = clock.now();
 	const request: UserRequest = {
 		operation: user.operation,
 		caller: user.caller,
 		sentAt: now,
-		deadline: now + deadlineTries * user.operation.tryTimeout,
+		deadline: now + deadlineFactor * user.operation.tryTimeout,
 		work: 0,
 	};
-	tally.requestSent(request);
-	sendRequest(world, user, request, (retryAfter) => {
-		const think = thinkLeast + user.random.fraction() * thinkSpan;
-		const wait = Math.max(think, user.honours ? retryAfter : 0);
+	tally.recordRequest(request);
+	sendRequest(simulation, user, request, (retryAfter) => {
+		const think = minThinkTime + user.random.fraction() * thinkTimeSpread;
+		const wait = Math.max(think, user.honoursRetryAfter ? retryAfter : 0);
 		if (clock.now() + wait < user.abandonsAt) {
 			clock.setTimer(wait, () => {
-				press(world, user);
+				sendNewRequest(simulation, user);
 			});
 		}
 	});
 }
 
-/** Tries until an answer, the last try or the deadline; tells only of a failure. */
+/** Tries until an answer, the last try or the deadline; `failed` is called only on failure. */
 function sendRequest(
-	world: World,
+	simulation: Simulation,
 	user: User,
 	request: UserRequest,
 	failed: (retryAfter: number) => void,
 ): void {
-	const {clock} = world;
+	const {clock} = simulation;
 	let tries = 0;
 
-	const tryAgain = (retryAfter: number) => {
-		const wait = user.honours ? retryAfter : 0;
+	const retryOrFail = (retryAfter: number) => {
+		const wait = user.honoursRetryAfter ? retryAfter : 0;
 		if (tries >= clientTries || clock.now() + wait >= request.deadline) {
 			failed(retryAfter);
 		} else {
@@ -157,11 +159,11 @@
 
 	const tryOnce = () => {
 		tries++;
-		sendTry(world, user.home, request, (end) => {
+		sendTry(simulation, user.home, request, (end) => {
 			if (end?.kind === 'answered') {
 				request.answeredAt = clock.now();
 			} else {
-				tryAgain(end?.retryAfter ?? 0);
+				retryOrFail(end?.retryAfter ?? 0);
 			}
 		});
 	};
@@ -169,39 +171,39 @@
 	tryOnce();
 }
 
-/** One try; its end is undefined when no answer came in time. */
+/** Sends one try; `done` receives undefined on timeout. */
 function sendTry(
-	world: World,
+	simulation: Simulation,
 	home: Home,
 	request: UserRequest,
 	done: (end: CallEnd | undefined) => void,
 ): void {
-	const {clock, deployment, tally} = world;
-	const {toClients} = deployment;
+	const {clock, deployment, tally} = simulation;
+	const {clientDelay} = deployment;
 	const {tryTimeout} = request.operation;
 	const timeLeft = Math.min(tryTimeout, request.deadline - clock.now());
-	let open = true;
+	let isOpen = true;
 	let leave: (() => void) | undefined;
 
 	const close = (end: CallEnd | undefined) => {
-		open = false;
+		isOpen = false;
 		timer.cancel();
 		done(end);
 	};
 
-	const timer = world.deadlines.set(clock.now() + timeLeft, () => {
+	const timer = simulation.deadlines.set(clock.now() + timeLeft, () => {
 		close(undefined);
-		clock.setTimer(toClients, () => leave?.());
+		clock.setTimer(clientDelay, () => leave?.());
 	});
-	clock.setTimer(toClients, () => {
-		const attempt = createClientAttempt(world, request, timeLeft);
+	clock.setTimer(clientDelay, () => {
+		const attempt = createClientAttempt(simulation, request, timeLeft);
 		leave = home.handle(attempt, (end) => {
 			if (end.kind === 'notRun') {
-				tally.saidNotRun(attempt);
+				tally.recordNotRun(attempt);
 			}
 
-			clock.setTimer(toClients, () => {
-				if (open) {
+			clock.setTimer(clientDelay, () => {
+				if (isOpen) {
 					close(end);
 				}
 			});
@@ -209,26 +211,26 @@
 	});
 }
 
-/** The client's try as the root of all attempts that are made for it. */
+/** Creates the client's try, the root of all attempts made for it. */
 function createClientAttempt(
-	world: World,
+	simulation: Simulation,
 	request: UserRequest,
 	timeLeft: number,
 ): Attempt {
-	const {clock, contender, deployment} = world;
+	const {clock, variant, deployment} = simulation;
 	const {operation, caller} = request;
 	const {plan, requestClass, idempotent} = operation;
 	const deadline = clock.now() + timeLeft;
 	const service = deployment.services[plan.role].name;
-	const chain = world.nextId();
+	const chain = simulation.nextId();
 	return {
 		call: {
 			request,
 			plan,
 			service,
 			chain,
-			deadline: contender.callDeadline(deadline),
-			attempts: contender.attempts,
+			deadline: variant.callDeadline(deadline),
+			attempts: variant.attempts,
 		},
 		facts: {
 			id: chain,
@@ -237,11 +239,11 @@
 			caller,
 			operation: plan.operation,
 			deadline,
-			attempts: contender.attempts,
+			attempts: variant.attempts,
 			idempotent,
 		},
 		node: '',
 		hasRun: false,
-		saidNotRun: false,
+		reportedNotRun: false,
 	};
 }
