--- a/packages/decisions/src/admission-level.ts
+++ b/packages/decisions/src/admission-level.ts
@@ -1,22 +1,18 @@
 /**
- * The admission level: the highest priority number that is admitted while the
- * target is saturated (DAGOR, Zhou et al., SoCC 2018).
+ * Computes the admission level (DAGOR, Zhou et al., SoCC 2018).
  *
- * Load pattern: more work arrives than the slots can run. Without a level each
- * layer refuses different requests, those that happen to wait longest, so that
- * the calls of one request are refused at one service and run at another; the
- * deepest service is fully busy while few whole requests succeed. The priority
- * number is the same at every layer, so all layers refuse the same requests,
- * and upper layers can refuse them first.
- *
- * Once a window the level is computed from the work that arrived by priority
- * number, the available slot time and the queue. Work is measured in slot time
- * (milliseconds for which a request holds a slot), so that long requests count
- * for what they take.
+ * Load pattern: more work arrives than the slots can run. If each layer refused
+ * the requests that happen to wait longest, the calls of one request would run
+ * at one service and be refused at another, and few whole requests would
+ * succeed while the deepest service is fully busy. With a level all layers
+ * refuse the same requests, and upper layers can refuse them first.
  */
 import {limitChange} from './rate-of-change.js';
 
-/** Priority numbers of a class: class rank * 128 + share. */
+/**
+ * The number of priority numbers in a class: a number is class rank * 128 +
+ * share.
+ */
 export const prioritiesPerClass = 128;
 
 /** The level that admits all requests. */
@@ -58,8 +54,16 @@
 const decayAboveLevel = 0.95;
 const decayAboveLevelIdle = 0.8;
 
-/** The level of one target. */
+/**
+ * The level of one target. Work is measured in slot time (milliseconds for
+ * which a request holds a slot), so that long requests count for what they
+ * take.
+ */
 export type AdmissionLevel = {
+	/**
+	 * The highest priority number that is admitted while the target is saturated;
+	 * a request has the same number at every layer.
+	 */
 	level: number;
 	/** Slot time that arrived in this window, by priority number. */
 	arrived: Float64Array;
@@ -137,7 +141,10 @@
 	return Math.max(minWindow, windowServiceTimes * serviceTime);
 }
 
-/** Computes the level of the next window. */
+/**
+ * Computes the level of the next window from the work that arrived by priority
+ * number, the available slot time and the queue.
+ */
 export function closeLevelWindow(
 	state: AdmissionLevel,
 	target: TargetState,
@@ -190,7 +197,10 @@
 	return raiseLevel(state, allowed - admitted);
 }
 
-/** The level at which waiting and expected requests fill the slots and the desired queue. */
+/**
+ * The level at which waiting and expected requests fill the slots and the
+ * desired queue.
+ */
 function levelForSaturation(
 	state: AdmissionLevel,
 	{limit, serviceTime, waiting}: TargetState,
--- a/packages/decisions/src/admission-queue.ts
+++ b/packages/decisions/src/admission-queue.ts
@@ -2,16 +2,9 @@
  * The requests that wait for a slot.
  *
  * Load pattern: a burst, or lasting overload. A queue bounded by length is too
- * short for a burst of short work and far too long for slow work: requests
- * wait until their callers have given up, and the slots run requests that no
- * client waits for. The bound is therefore time.
- *
- * Slots go by priority number, that is by class and then by share, so that
- * requests which expire here are those that the level refuses here and at
- * every other layer. In order of arrival each layer would refuse different
- * requests, and few whole requests would succeed. At equal priority the newest
- * request goes first, because it has the most time left (adaptive LIFO,
- * Maurer, "Fail at Scale", 2015).
+ * short for a burst of short work and far too long for slow work: requests wait
+ * until their callers have given up, and the slots run requests that no client
+ * waits for. The bound is therefore time.
  */
 import {prioritiesPerClass} from './admission-level.js';
 import {isOverSharePriority} from './fair-share.js';
@@ -167,7 +160,13 @@
 	return oldest;
 }
 
-/** Removes and returns the request that gets the next slot. */
+/**
+ * Removes and returns the request that gets the next slot. The order is by
+ * priority number, that is by class and then by share, so that requests which
+ * expire here are those that the level refuses here and at every other layer.
+ * In order of arrival each layer would refuse different requests, and few whole
+ * requests would succeed.
+ */
 export function dequeue(
 	queue: AdmissionQueue,
 	mayRunLong: (rank: number) => boolean,
@@ -214,6 +213,10 @@
 	return sum;
 }
 
+/**
+ * At equal priority the newest request goes first, because it has the most time
+ * left (adaptive LIFO, Maurer, "Fail at Scale", 2015).
+ */
 function hasPriorityOver(left: QueueEntry, right: QueueEntry): boolean {
 	return left.priority === right.priority
 		? left.since > right.since
--- a/packages/decisions/src/chain-attempts.ts
+++ b/packages/decisions/src/chain-attempts.ts
@@ -1,17 +1,18 @@
 /**
- * The attempts that a request may use for its whole chain.
+ * Limits the attempts that a request may use for its whole chain.
  *
  * Load pattern: every layer of a deep chain tries three times. One request at
  * the top becomes 3 * 3 * 3 calls at the bottom while the deepest service is
- * already overloaded. Here the chain has one number of attempts. An attempt is
- * repeated only after a definite refusal, which used no attempts downstream,
- * so the one that succeeds may pass on all remaining attempts, including
- * itself: the calls at the bottom never exceed the number with which the
- * request started.
+ * already overloaded. Here the chain has one number of attempts.
  */
 import type {CallFacts} from './policy.js';
 
-/** The attempts that the downstream chain may use. */
+/**
+ * The attempts that the downstream chain may use: all remaining ones, including
+ * this one. An attempt is repeated only after a definite refusal, which used no
+ * attempts downstream, so the calls at the bottom never exceed the number with
+ * which the request started.
+ */
 export function downstreamAttempts({attempts}: CallFacts): number {
 	return Math.max(1, attempts);
 }
--- a/packages/decisions/src/concurrency-limit.ts
+++ b/packages/decisions/src/concurrency-limit.ts
@@ -5,14 +5,6 @@
  * because a processor or a lock is shared. Each further request only adds
  * waiting inside the target, where it can't be refused in time: latency rises
  * with the requests in flight while throughput stays the same.
- *
- * Latency also rises when a downstream service is slow, and a lower limit
- * would then only waste slots. A rise therefore starts a trial (after Vegas,
- * Brakmo & Peterson 1995, and the gradient limits built on it): the limit is
- * lowered by a fifth. If latency falls by at least half of that, the target
- * was crowded and the lower limit stays; if not, the limit is restored and the
- * new latency becomes the baseline. When the slots are the real capacity, this
- * costs a fifth of the slots for one window per rise.
  */
 
 /** A window has two rounds of the limit, so that each slot is sampled twice. */
@@ -148,6 +140,13 @@
 	}
 }
 
+/**
+ * Starts a trial: lowers the limit by a fifth to find out why latency has risen
+ * (after Vegas, Brakmo & Peterson 1995, and the gradient limits built on it).
+ * Latency also rises when a downstream service is slow, and a permanently lower
+ * limit would then only waste slots. When the slots are the real capacity, this
+ * costs a fifth of the slots for one window per rise.
+ */
 function startTrial(
 	state: ConcurrencyLimit,
 	from: number,
@@ -161,8 +160,10 @@
 }
 
 /**
- * Continues to lower the limit while latency follows and is still risen. A
- * failed trial restores the limit from before the first one.
+ * If latency has followed the limit, the target was crowded: the lower limit
+ * stays, and is lowered further while latency is still risen. If not, the limit
+ * from before the first trial is restored and the new latency becomes the
+ * baseline.
  */
 function evaluateTrial(
 	state: ConcurrencyLimit,
--- a/packages/decisions/src/connection-limit.ts
+++ b/packages/decisions/src/connection-limit.ts
@@ -1,10 +1,11 @@
 /**
  * Limits the requests at a target to its connections.
  *
- * Load pattern: requests pile up at a slow target. Beyond its connections the
- * target's host refuses each further request, after the cost of an attempt:
- * connect errors while the target's processor is idle. A node therefore never
- * has more requests at a target than the target has connections.
+ * Load pattern: requests pile up at a slow target. Once its connections are in
+ * use, the target's host refuses each further request after the cost of an
+ * attempt, which shows as connect errors while the target's processor is idle.
+ * A node therefore never has more requests at a target than the target has
+ * connections.
  */
 import type {TargetView} from './target-view.js';
 
--- a/packages/decisions/src/downstream-levels.ts
+++ b/packages/decisions/src/downstream-levels.ts
@@ -4,14 +4,8 @@
  *
  * Load pattern: a deep service is saturated. Without these levels the upper
  * layers run their part of every request, call downstream and are refused
- * there, so their work is wasted. Answers carry the level of the node that
- * gave them. The node assigns it to the operation that its own target was
- * running for that chain, and its admission refuses requests of the operation
- * by this level before they run (DAGOR's collaborative admission, and TopFull,
- * SIGCOMM 2024, which sheds by operation at the entry). The table also passes
- * the priority number down the chain.
- *
- * Wrong and outdated levels are handled in `level-samples.ts`.
+ * there, so their work is wasted. Wrong and outdated levels are handled in
+ * `level-samples.ts`.
  */
 import {maxLevel} from './admission-level.js';
 import {findOrAdd} from './bounded-table.js';
@@ -62,7 +56,10 @@
 	}
 }
 
-/** The priority number of a chain that is running here. */
+/**
+ * The priority number of a chain that is running here, which is passed down the
+ * chain.
+ */
 export function chainPriority(
 	state: DownstreamLevels,
 	chain: string,
@@ -70,7 +67,11 @@
 	return state.chains.get(chain)?.priority;
 }
 
-/** Records the level of a service that the chain's request called. */
+/**
+ * Records the level of a service that the chain's request called. Answers carry
+ * the level of the node that gave them. The node assigns it to the operation
+ * that its own target was running for that chain.
+ */
 export function recordDownstreamLevel(
 	state: DownstreamLevels,
 	chain: string,
@@ -93,7 +94,11 @@
 	addLevel(samples, observed.level, observed.now);
 }
 
-/** The level up to which downstream services admit requests of the operation. */
+/**
+ * The level up to which downstream services admit requests of the operation.
+ * Admission refuses requests above it before they run (DAGOR's collaborative
+ * admission, and TopFull, SIGCOMM 2024, which sheds by operation at the entry).
+ */
 export function downstreamLevel(
 	state: DownstreamLevels,
 	operation: string,
--- a/packages/decisions/src/ejection.ts
+++ b/packages/decisions/src/ejection.ts
@@ -6,13 +6,6 @@
  * requests sent there determines the service's 99th percentile. After its
  * ejection a target gets one request at a time until one shows that it is
  * ordinary again.
- *
- * A fault of all targets must not eject all of them, because the remaining
- * ones would be overloaded. So at most a third of the group is ejected, an
- * outlier needs a group of at least three, and ejections are ignored when
- * fewer than half of the group are left (panic rule). Slowness ejects a target
- * only while the others have room for its work, and never one that may be
- * cold.
  */
 import {isStarting} from './slow-start.js';
 import {
@@ -58,7 +51,10 @@
 	return view.ejections > 0 && now >= view.ejectedUntil && view.open.size === 0;
 }
 
-/** Whether so many targets are ejected that the ejections are ignored. */
+/**
+ * Whether fewer than half of the group are left; ejections are then ignored
+ * (panic rule).
+ */
 export function isPanic({views, ejected}: EjectionGroup): boolean {
 	return ejected.size * 2 > views.length;
 }
@@ -87,6 +83,10 @@
 	}
 }
 
+/**
+ * Slowness ejects a target only while the others have room for its work, and
+ * never one that may be cold.
+ */
 function ejectIfOutlier(
 	group: EjectionGroup,
 	view: TargetView,
@@ -154,6 +154,11 @@
 	);
 }
 
+/**
+ * A fault of all targets must not eject all of them, because the remaining ones
+ * would be overloaded. So at most a third of the group is ejected, and an
+ * outlier needs a group of at least three.
+ */
 function canEjectMore({views, ejected}: EjectionGroup): boolean {
 	const maxEjected = Math.max(
 		views.length >= 3 ? 1 : 0,
--- a/packages/decisions/src/fair-share.ts
+++ b/packages/decisions/src/fair-share.ts
@@ -1,21 +1,11 @@
 /**
- * The priority number of a request, which includes the fair share of its
- * caller.
+ * Computes the priority number of a request, which includes the fair share of
+ * its caller.
  *
- * Load pattern: a few callers send most of the load. Without shares all
- * callers are refused in the same proportion: a caller that sends ten times
- * its share gets ten times what the others get, and those within their share
- * lose requests.
- *
- * Each request gets a position in its caller's recent demand by a hash of the
- * chain's id: the n requests of a caller are spread over 0 to n, essential
- * ones first, deferrable ones last. Positions up to the heavy count are
- * numbered by class: essential 0 to 127, normal 128 to 255, deferrable 256 to
- * 319, short operations before long ones. Positions above it are numbered 320
- * to 383, so that a level in this range cuts all heavy callers to the same
- * count and no other caller (max-min fairness as in core-stateless fair
- * queueing, Stoica et al., SIGCOMM 1998). Essential requests always keep their
- * class, so they yield to essential ones only.
+ * Load pattern: a few callers send most of the load. Without shares all callers
+ * are refused in the same proportion: a caller that sends ten times its share
+ * gets ten times what the others get, and those within their share lose
+ * requests.
  */
 import {rankOf, type RequestClass} from '@egretspoke/protocol';
 import {maxLevel, prioritiesPerClass} from './admission-level.js';
@@ -43,19 +33,32 @@
 /** A caller below this count has sent nothing for several time constants. */
 const minTrackedCount = 0.05;
 
-/** The first priority number over the share, and the number of such numbers. */
+/**
+ * The first priority number over the share, and the number of such numbers.
+ * Positions above the heavy count are numbered 320 to 383, so that a level in
+ * this range cuts all heavy callers to the same count and no other caller
+ * (max-min fairness as in core-stateless fair queueing, Stoica et al., SIGCOMM
+ * 1998).
+ */
 const firstOverSharePriority = 320;
 const overSharePriorityCount = maxLevel + 1 - firstOverSharePriority;
 /** The doublings of the heavy count that these numbers span: ten numbers for each. */
 const overShareDoublings = 6;
 
-/** Priority numbers by class rank; the rest of the last class is for requests over the share. */
+/**
+ * Positions up to the heavy count are numbered by class: essential 0 to 127,
+ * normal 128 to 255, deferrable 256 to 319. The rest of the last class is for
+ * requests over the share.
+ */
 const classPriorityCounts = [
 	prioritiesPerClass,
 	prioritiesPerClass,
 	prioritiesPerClass - overSharePriorityCount,
 ] as const;
-/** The ratio of a class's numbers that short operations have. */
+/**
+ * The ratio of a class's numbers used by short operations; long ones come after
+ * them.
+ */
 const shortRatio = 5 / 8;
 
 type Rank = 0 | 1 | 2;
@@ -129,7 +132,12 @@
 	}
 }
 
-/** The request's priority number, from 0 (refused last) to 383. */
+/**
+ * The request's priority number, from 0 (refused last) to 383. It follows from
+ * a position in the caller's recent demand, given by a hash of the chain's id.
+ * Essential requests always keep their class, so they yield to essential ones
+ * only.
+ */
 export function computePriority(
 	state: FairShare,
 	{caller, requestClass, chain, isLong}: PriorityInput,
@@ -182,7 +190,10 @@
 	);
 }
 
-/** The position in the caller's own order: essential, normal, deferrable. */
+/**
+ * The position in the caller's recent demand. The n requests of a caller are
+ * spread over 0 to n, essential ones first, deferrable ones last.
+ */
 function placeOf({counts}: CallerDemand, rank: Rank, fraction: number): number {
 	const before = counts[0] + (rank === 2 ? counts[1] : 0);
 	return before + fraction * counts[rank];
--- a/packages/decisions/src/locality.ts
+++ b/packages/decisions/src/locality.ts
@@ -5,8 +5,7 @@
  * or the link between data centres is slow or cut. Without locality most calls
  * cross data centres needlessly, and a cut link fails requests that could have
  * stayed local; with strict locality one data centre refuses while the next is
- * idle. Requests stay local while the better local target has room; beyond
- * that they go to the target with the lower cost.
+ * idle.
  */
 import {pressureOf, slownessOf, type TargetView} from './target-view.js';
 
@@ -19,7 +18,10 @@
 /** The slowness, relative to the other targets, above which a local target isn't preferred. */
 const spillSlowness = 1.5;
 
-/** Whether requests should stay with the local target. */
+/**
+ * Whether requests should stay with the local target; otherwise they go to the
+ * target with the lower cost.
+ */
 export function hasRoom(view: TargetView, now: number): boolean {
 	return (
 		pressureOf(view, now) < spillPressure &&
--- a/packages/decisions/src/long-operation-limit.ts
+++ b/packages/decisions/src/long-operation-limit.ts
@@ -5,13 +5,6 @@
  * long request keeps its slot while many short ones come and go, until long
  * requests hold all slots; short requests time out while the target completes
  * little.
- *
- * Long requests of a class may use the slots that short requests of the same
- * and higher classes don't need. That need is the average number of running
- * short requests (Little's law), plus those that wait, plus the square root of
- * the sum: with the average alone, random arrivals would find all slots taken
- * half of the time (square-root staffing, Halfin & Whitt 1981). Essential long
- * requests yield to essential short ones only.
  */
 
 /**
@@ -78,7 +71,15 @@
 	}
 }
 
-/** Whether one more long request of the class may get a slot. */
+/**
+ * Whether one more long request of the class may get a slot. Long requests may
+ * use the slots that short requests of the same and higher classes don't need,
+ * so essential long requests yield to essential short ones only. That need is
+ * the average number of running short requests (Little's law), plus those that
+ * wait, plus the square root of the sum: with the average alone, random
+ * arrivals would find all slots taken half of the time (square-root staffing,
+ * Halfin & Whitt 1981).
+ */
 export function mayRunLong(
 	state: SlotUsage,
 	rank: number,
--- a/packages/decisions/src/policy.ts
+++ b/packages/decisions/src/policy.ts
@@ -118,8 +118,8 @@
 	| RefusalDecision;
 
 /**
- * Routing at the entry node: chooses targets, refuses doomed requests early
- * and decides on retries.
+ * Routing at the entry node: chooses targets, refuses requests early that the
+ * service would refuse, and decides on retries.
  */
 export type RoutingPolicy = {
 	/** Replaces the candidates of a service. */
--- a/packages/decisions/src/rate-of-change.ts
+++ b/packages/decisions/src/rate-of-change.ts
@@ -3,13 +3,14 @@
  *
  * Load pattern: reports are late, so they show the effect of decisions made a
  * round trip ago. Without a bound the control reacts several times to the same
- * outdated report and overshoots, and goodput oscillates with the period of
- * the reports. Each step is therefore bounded by a ratio of the value per
- * control window, and a window is never shorter than the time after which a
- * step takes effect.
+ * outdated report and overshoots, and goodput oscillates with the period of the
+ * reports. Each step is therefore bounded by a ratio of the value.
  */
 
-/** The maximum change of a value in one control window, as factors. */
+/**
+ * The maximum change of a value in one control window, as factors. A window is
+ * never shorter than the time after which a step takes effect.
+ */
 export type ChangeBounds = {
 	/** Below 1: the new value is at least the old one times this. */
 	down: number;
--- a/packages/decisions/src/retry-after-time.ts
+++ b/packages/decisions/src/retry-after-time.ts
@@ -3,13 +3,8 @@
  *
  * Load pattern: many callers are refused at once. With one fixed time they all
  * retry together, as a burst as large as the first, so that overload recurs
- * with the period of that time. The time here is when the waiting work ends,
- * plus a random part of the span in which the target can serve the requests
- * refused in the last window. The retries are thereby spread
+ * with the period of that time. The random part of this time spreads retries
  * over exactly the capacity they need.
- *
- * Bounds: at least one service time, since nothing changes sooner, and at most
- * half a minute, after which the state is worth another request in any case.
  */
 import type {Random} from '@egretspoke/shared';
 
@@ -28,7 +23,14 @@
 	serviceTime: number;
 };
 
-/** The retry-after time in milliseconds. */
+/**
+ * The retry-after time in milliseconds: when the waiting work ends, plus a
+ * random part of the span in which the target can serve the requests refused in
+ * the last window.
+ *
+ * Bounds: at least one service time, since nothing changes sooner, and at most
+ * half a minute, after which the state is worth another request in any case.
+ */
 export function retryAfterTime(
 	{waiting, refused, drainRate, serviceTime}: BacklogState,
 	random: Random,
--- a/packages/decisions/src/retry-budget.ts
+++ b/packages/decisions/src/retry-budget.ts
@@ -2,14 +2,10 @@
  * Limits retries to a ratio of successes.
  *
  * Load pattern: a service begins to fail and every caller retries. The retries
- * add to the load that made the service fail and keep it failing when the
- * cause is gone. Here each success of a service adds a part of a token and
- * each retry takes one, so that retries stay below a tenth of the successes
- * however many requests fail.
- *
- * Tokens are counted per caller, so that one caller can't spend what the
- * others earned, and for the service as a whole, so that many callers together
- * can't start with more tokens than one.
+ * add to the load that made the service fail and keep it failing when the cause
+ * is gone. Here each success of a service adds a part of a token and each retry
+ * takes one, so that retries stay below a tenth of the successes however many
+ * requests fail.
  */
 import {findOrAdd} from './bounded-table.js';
 
@@ -24,7 +20,11 @@
 
 type Tokens = {count: number};
 
-/** The tokens for one service. */
+/**
+ * The tokens for one service. They are counted per caller, so that one caller
+ * can't spend what the others earned, and for the service as a whole, so that
+ * many callers together can't start with more tokens than one.
+ */
 export type RetryBudget = {whole: Tokens; byCaller: Map<string, Tokens>};
 
 /** Creates a full budget. */
--- a/packages/decisions/src/target-view.ts
+++ b/packages/decisions/src/target-view.ts
@@ -6,8 +6,8 @@
 /** Number of attempts over which a target's slowness and failures are averaged. */
 const averageSpan = 16;
 /**
- * Milliseconds for which a load report is used. It is already late when it
- * arrives, and no longer valid after this time.
+ * Milliseconds for which a load report is used; it is already late when it
+ * arrives.
  */
 const reportLifetime = 1000;
 /**
@@ -26,8 +26,9 @@
 type OpenAttempt = {startedAt: number; expected: number};
 
 /**
- * A target counts as slow when this many attempts in flight have taken this
- * much longer than typical.
+ * A target counts as slow when `stuckCount` attempts in flight have taken
+ * longer than `stuckFactor` times the typical duration; its slowness is then at
+ * least `stuckSlowness`.
  */
 const stuckCount = 3;
 const stuckFactor = 1.5;
--- a/packages/decisions/src/two-choices.ts
+++ b/packages/decisions/src/two-choices.ts
@@ -4,21 +4,15 @@
  * Load pattern: targets differ in speed, and their load changes faster than
  * reports arrive. Round robin sends a slow target as much as a fast one, so
  * that it determines the service's 99th percentile; the least loaded target by
- * report attracts all entry nodes at once, so that load swings from target to
- * target. Two random choices avoid both (Mitzenmacher 2001). Requests in
- * flight with latency are a better signal than reported utilisation (Prequal,
- * Wydrowski et al., NSDI 2024).
- *
- * The tier decides first, then the cost: slowness times load per slot. A slow
- * target gets no requests while the others have room, and as much as its slots
- * can run once they are full.
+ * report attracts all entry nodes at once, so that load swings between targets.
+ * Two random choices avoid both (Mitzenmacher 2001).
  */
 import type {Random} from '@egretspoke/shared';
 import {pressureOf, slownessOf, type TargetView} from './target-view.js';
 
 /**
- * Slowness up to half as much again as ordinary counts as ordinary: an average
- * of sixteen durations varies as much by chance.
+ * Slowness up to this value counts as ordinary, because an average of sixteen
+ * durations varies as much by chance.
  */
 const normalSlowness = 1.5;
 /** Half a slot's load is added to the load, so that slowness also counts for an idle target. */
@@ -44,7 +38,12 @@
 	cost: number;
 };
 
-/** Rates a target for a request with the given remaining time and typical duration. */
+/**
+ * Rates a target for a request with the given remaining time and typical
+ * duration. The cost is slowness times load per slot: requests in flight with
+ * latency are a better signal than reported utilisation (Prequal, Wydrowski et
+ * al., NSDI 2024).
+ */
 export function rateTarget(
 	view: TargetView,
 	timeLeft: number,
@@ -66,7 +65,11 @@
 	return {tier: effectiveSlowness > 1 ? tiers.slow : tiers.free, cost};
 }
 
-/** Whether the first is more suitable; of two equal ones the first is. */
+/**
+ * Whether the first is more suitable; of two equal ones the first is. The tier
+ * decides before the cost, so a slow target gets no requests while the others
+ * have room, and as much as its slots can run once they are full.
+ */
 export function isBetter(first: Suitability, second: Suitability): boolean {
 	return first.tier === second.tier
 		? first.cost <= second.cost
--- a/packages/decisions/src/upstream-refusal.ts
+++ b/packages/decisions/src/upstream-refusal.ts
@@ -1,16 +1,11 @@
 /**
- * Refuses requests before they are sent when the called service would refuse
- * them.
+ * Refuses requests that the called service would refuse, before they are sent.
  *
  * Load pattern: a service is saturated while its callers keep sending. Each
  * refusal costs a hop, and the work of the layers that the request has passed
  * is wasted. Answers carry the current level, and a request whose priority
  * number, or whose whole class, is above it is refused here (DAGOR,
  * collaborative admission).
- *
- * A level that is no longer confirmed would refuse requests forever. One
- * request in each `probeInterval` therefore passes as a probe, and its answer
- * carries the current level; levels also relax with age.
  */
 import {rankOf} from '@egretspoke/protocol';
 import {maxLevel, prioritiesPerClass} from './admission-level.js';
@@ -60,7 +55,12 @@
 	return observed ? currentLevel(observed.samples, now) : maxLevel;
 }
 
-/** Whether the request would be refused; one in each interval passes as a probe. */
+/**
+ * Whether the request would be refused. A level that is no longer confirmed
+ * would refuse requests forever, so one request in each `probeInterval` passes
+ * as a probe, and its answer carries the current level; levels also relax with
+ * age.
+ */
 export function isRefusedUpstream(
 	state: ServiceLevels,
 	call: CallFacts,
--- a/packages/experiment/src/capacity.ts
+++ b/packages/experiment/src/capacity.ts
@@ -1,17 +1,8 @@
 /**
  * Computes `limitGoodput`: the maximum number of requests per second that the
  * capacity allows during the overload. It is calculated as a flow in small
- * steps from slots, mean service times and the user arrivals:
- *
- * - Each target does `slots` milliseconds of work per millisecond. At the
- *   deepest service this is divided by the slowdown; the factor of a cold
- *   target decreases with the requests it has run, assuming full slots.
- * - A user who is not served in one step waits for the next; none is lost, so
- *   that the limit can only be too high, never too low.
- * - Each step serves the cheapest operations first, which maximizes the count.
- * - A service above the deepest limits the rate to its slots divided by the time
- *   for which a request holds one: its work plus its downstream calls, without
- *   queueing.
+ * steps from slots, mean service times and the user arrivals. Each step serves
+ * the cheapest operations first, which maximizes the count.
  */
 import {
 	capacityOf,
@@ -82,7 +73,11 @@
 	);
 }
 
-/** Queue of the arrivals whose operations have the same cost, oldest first. */
+/**
+ * Queue of the arrivals whose operations have the same cost, oldest first. A
+ * user who is not served in one step waits for the next; none is lost, so that
+ * the limit can only be too high, never too low.
+ */
 function createBacklog(cost: number, instants: number[]) {
 	let waiting = 0;
 	let next = 0;
@@ -119,7 +114,12 @@
 		.map(([cost, instants]) => createBacklog(cost, instants));
 }
 
-/** Returns a function that computes the work that the deepest service does in the next step, in milliseconds of a healthy target. */
+/**
+ * Returns a function that computes the work that the deepest service does in
+ * the next step, in milliseconds of a healthy target. Each target does `slots`
+ * milliseconds of work per millisecond, divided by the slowdown; the factor of
+ * a cold target decreases with the requests it has run, assuming full slots.
+ */
 function createDeepCapacity({services}: Deployment, scenario: Scenario) {
 	const {targets, slots} = services.deep;
 	const run = Array.from({length: targets}, (_, target) =>
@@ -145,7 +145,11 @@
 	return 1 + (coldStartFactor - 1) * left;
 }
 
-/** Maximum rate that the services above the deepest allow, in requests per second. */
+/**
+ * Maximum rate that the services above the deepest allow, in requests per
+ * second. Each limits it to its slots divided by the time for which a request
+ * holds one: its work plus its downstream calls, without queueing.
+ */
 function computeUpstreamBound(
 	{services}: Deployment,
 	scenario: Scenario,
--- a/packages/experiment/src/chain/chain-model.ts
+++ b/packages/experiment/src/chain/chain-model.ts
@@ -1,13 +1,10 @@
 /**
- * Simulates overload of the last service of a call graph, on a virtual clock and
- * without a network: callers send requests to entry nodes, each request makes
- * sequential calls to one deep service, and its nodes report a shed level to
- * the entry nodes.
+ * Simulates overload of the last service of a call graph, on a virtual clock
+ * and without a network: callers send requests to entry nodes, each request
+ * makes sequential calls to one deep service, and its nodes report a shed level
+ * to the entry nodes.
  *
- * Load pattern: demand above the capacity of the deep service for seconds. The
- * model shows whether the level settles, how many of the admitted requests
- * complete, and how soon all requests are admitted again. Target admission, the
- * shed level and the shedding order are those of the nodes.
+ * Load pattern: demand above the capacity of the deep service for seconds.
  */
 import {
 	createTargetAdmission,
@@ -85,7 +82,12 @@
 const requestTimeout = 1500;
 const millisecondsPerSecond = 1000;
 
-/** Simulates a scenario; returns the outcomes by second of arrival. */
+/**
+ * Simulates a scenario; returns the outcomes by second of arrival. They show
+ * whether the level settles, how many of the admitted requests complete, and
+ * how soon all requests are admitted again. Target admission, the shed level
+ * and the shedding order are those of the nodes.
+ */
 export function simulateChain(scenario: ChainScenario): ChainSecond[] {
 	const clock = createVirtualClock();
 	const random = createRandom(scenario.seed);
--- a/packages/experiment/src/users.ts
+++ b/packages/experiment/src/users.ts
@@ -1,16 +1,8 @@
 /**
  * Simulates users and their clients, the same for every policy. A user arrives,
- * needs one operation and leaves once it is answered or abandoned:
- *
- * - The client sends a request with a deadline of three seconds and makes up to
- *   three tries, each with a timeout of one second and without backoff. All
- *   timeouts of a long operation are five times as long.
- * - Half of the clients honour Retry-After: they delay the next try, or fail the
- *   request if the delay exceeds its deadline. The others retry immediately.
- * - After a failed request the user waits a think time of two to four seconds
- *   (at least the retry-after time if the client honours it) and sends a new
- *   request. The user abandons ten seconds after the arrival.
- * - The tries of a request share its idempotency key; a new request has a new key.
+ * needs one operation and leaves once it is answered or abandoned. The client
+ * sends a request with a deadline and makes several tries, each with a timeout.
+ * After a failed request the user sends a new one.
  */
 import type {Random} from '@egretspoke/shared';
 import type {Attempt, CallEnd, UserRequest} from './call.js';
@@ -19,20 +11,37 @@
 import type {Demand} from './scenario.js';
 import type {Simulation} from './simulation.js';
 
-/** Maximum tries of one request, including the first. */
+/**
+ * Maximum tries of one request, including the first; there is no backoff
+ * between them.
+ */
 const clientTries = 3;
 
-/** Deadline of a request, as a multiple of the try timeout. */
+/**
+ * Deadline of a request, as a multiple of the try timeout: three seconds with a
+ * timeout of one second. All timeouts of a long operation are five times as
+ * long.
+ */
 const deadlineFactor = 3;
 
-/** Time from a user's arrival until the user abandons, as a multiple of the try timeout. */
+/**
+ * Time from a user's arrival until the user abandons, as a multiple of the try
+ * timeout: ten seconds with a timeout of one second.
+ */
 const abandonmentFactor = 10;
 
-/** Think time before a new request in milliseconds: the minimum, and the range of the uniform addition. */
+/**
+ * Think time before a new request in milliseconds, two to four seconds: the
+ * minimum, and the range of the uniform addition. It is at least the
+ * retry-after time if the client honours it.
+ */
 const minThinkTime = 2000;
 const thinkTimeSpread = 2000;
 
-/** Fraction of clients that honour Retry-After. */
+/**
+ * Fraction of clients that honour Retry-After: they delay the next try, or fail
+ * the request if the delay exceeds its deadline. The others retry immediately.
+ */
 const honouringRatio = 0.5;
 
 /** A user who needs one operation. */
@@ -115,7 +124,10 @@
 	return operations.at(-1)!;
 }
 
-/** Sends a new request of the user. */
+/**
+ * Sends a new request of the user. Its tries share one idempotency key; a new
+ * request has a new key.
+ */
 function sendNewRequest(simulation: Simulation, user: User): void {
 	const {clock, tally} = simulation;
 	const now = clock.now();
--- a/packages/node/src/entry-keys.ts
+++ b/packages/node/src/entry-keys.ts
@@ -1,12 +1,11 @@
 /**
- * Refusals at the entry that take earlier attempts at the same idempotency key
- * into account.
+ * Refusals at the entry that respect earlier attempts at the idempotency key.
  *
  * A payment runs and its answer is lost; its repeat reaches a node that is
- * leaving or cannot reach the home of the key, and is refused as "not run". That
- * is true of the repeat only, but the user takes it for the payment: the
- * caller's log shows "not run" and the service has a row. Only the ledger at the
- * key's home can prove that no attempt has run.
+ * leaving or cannot reach the home of the key, and is refused as "not run".
+ * That is true of the repeat only, but the user takes it for the payment: the
+ * caller's log shows "not run" and the service has a row. Only the ledger at
+ * the key's home can prove that no attempt has run.
  */
 import {
 	formatHome,
--- a/packages/node/src/exchange-table.ts
+++ b/packages/node/src/exchange-table.ts
@@ -3,11 +3,9 @@
  * number.
  *
  * An answer that arrives after its caller gave up could otherwise be given to
- * the next caller waiting on the channel: answers don't fit their requests, and
- * a boat owner sees another's receipt. A number is therefore used only once in
- * the life of a channel. An answer without an open exchange is dropped and
- * counted, and an answer whose length doesn't match is an error, never a short
- * success.
+ * the next caller waiting on the channel, and a boat owner would see another's
+ * receipt. A number is therefore used only once in the life of a channel, and
+ * an answer without an open exchange is dropped and counted.
  */
 import {
 	acceptCertifiedRefusal,
@@ -132,6 +130,7 @@
 > = {
 	answered(message) {
 		const {status, headers, body, length, repeated} = message;
+		// An answer whose length doesn't match is an error, never a short success.
 		if (status === undefined || body?.length !== length) {
 			return admitUnknown(createRefusal(ErrorCode.AnswerCut));
 		}
--- a/packages/node/src/pause-watch.ts
+++ b/packages/node/src/pause-watch.ts
@@ -1,19 +1,21 @@
 /**
- * Estimates the age of data that has just been read, from pauses of the process.
+ * Estimates the age of data that was just read, from pauses of the process.
  *
- * A message states how much time its request has left, counted from its sending.
- * When a VM is frozen with requests in its sockets, their callers give up, and
- * the VM would run every one of them after its wake-up as if it had just been
- * sent: a booking appears after it was given up, and a burst of useless work
- * follows each pause. A late event loop does the same on a smaller scale. Both
- * make a tick late; data read since the previous tick may have waited for that
- * long.
+ * A message states how much time its request has left, counted from its
+ * sending. After a VM was frozen with requests in its sockets, it would run all
+ * of them as if they had just been sent, although their callers have given up:
+ * a booking appears after it was given up, and a burst of useless work follows
+ * each pause. A late event loop does the same on a smaller scale.
  */
 import type {Clock} from '@egretspoke/shared';
 
 /** Detects pauses of the process. */
 export type PauseWatch = {
-	/** Upper bound in milliseconds on the age of data that is read now; 0 in normal operation. */
+	/**
+	 * Upper bound in milliseconds on the age of data that is read now; 0 in
+	 * normal operation. A pause or a late event loop makes a tick late, and data
+	 * read since the previous tick may have waited for that long.
+	 */
 	maxMessageAge(): number;
 };
 
--- a/packages/node/src/peer-handshake.ts
+++ b/packages/node/src/peer-handshake.ts
@@ -1,12 +1,10 @@
 /**
- * The handshake of two nodes: each sends a hello with random bytes and signs the
- * other's with the shared secret.
+ * The handshake of two nodes: each sends a hello with random bytes and signs
+ * the other's with the shared secret.
  *
  * Without it, any process that can reach the peer port could hand over requests
  * past the checks of the entry, or inject members and configurations, which
- * shows as members that were never started. The signature covers the signer's
- * side and name and the other's challenge, so a recorded or reflected signature
- * is useless.
+ * shows as members that were never started.
  */
 import {Buffer} from 'node:buffer';
 import {createHmac, randomBytes, timingSafeEqual} from 'node:crypto';
@@ -77,6 +75,10 @@
 	};
 }
 
+/**
+ * The signature covers the signer's side and name and the other's challenge, so
+ * a recorded or reflected signature is useless.
+ */
 function sign(
 	secret: string,
 	side: HandshakeSide,
--- a/packages/node/src/running-requests.ts
+++ b/packages/node/src/running-requests.ts
@@ -1,13 +1,11 @@
 /**
- * The requests that are running at the local target. A call made by the target
- * names the request it serves; its class, deadline and attempts come from this
- * table and not from what the target states.
+ * The requests that are running at the local target. Its calls get their class,
+ * deadline and attempts from here and not from what the target states.
  *
  * A target that forwards no headers, or that retries three times itself, would
  * otherwise start every downstream call with fresh attempts and a fresh
- * deadline. Each layer would multiply the load on the next, so that the deepest
- * service gets more calls than there are requests at the top. Here all calls of
- * one running request draw from one pool, and end with it.
+ * deadline, and the deepest service would get more calls than there are
+ * requests at the top.
  */
 import type {RequestClass} from '@egretspoke/protocol';
 import {createLinkedAbort, type LinkedAbort} from './linked-abort.js';
@@ -28,7 +26,11 @@
 	signal: AbortSignal;
 };
 
-/** A running request with the state that its downstream calls share. */
+/**
+ * A running request with the state that its downstream calls share: they draw
+ * their attempts from one pool and end with the request, because otherwise each
+ * layer would multiply the load on the next.
+ */
 type SharedRun = RunningRequest & {
 	/** Runs in progress; more than one when a chain calls its own service again. */
 	count: number;
@@ -56,7 +58,10 @@
 export type RunningRequests = {
 	add(request: RunningRequest): void;
 	remove(id: string): void;
-	/** Undefined when no such request is running here; `spent` when its attempts are used up. */
+	/**
+	 * Allocates to a call that names the request it serves. Undefined when no such
+	 * request is running here; `spent` when its attempts are used up.
+	 */
 	allocate(
 		id: string,
 		call: {service: string; operation: string},
--- a/packages/node/src/supervisor.ts
+++ b/packages/node/src/supervisor.ts
@@ -4,9 +4,8 @@
  * continue.
  *
  * Without it, an unexpected error in the task of one peer would end the process
- * and cut every request in flight, so that nodes restart because of a single bad
- * peer. Here the error is confined to its task and reported, and the task is
- * restarted.
+ * and cut every request in flight, so that nodes restart because of a single
+ * bad peer.
  */
 import {setMaxListeners} from 'node:events';
 import {sleep, type Clock} from '@egretspoke/shared';
