--- a/packages/node/src/running-requests.ts
+++ b/packages/node/src/running-requests.ts
@@ -40,9 +40,9 @@
 
 /**
  * What a downstream call receives from its parent request. The class is the one
- * assigned at the first entry: work for a deferrable request is never raised,
- * and a payment isn't refused half-way because of a look-up that counts as
- * normal by itself.
+ * assigned at the first entry: work for a deferrable request never gets a
+ * higher class, and a payment isn't refused half-way because of a look-up that
+ * would count as normal by itself.
  */
 export type ChainAllocation = {
 	caller: string;
--- a/packages/node/src/turn-queue.ts
+++ b/packages/node/src/turn-queue.ts
@@ -13,9 +13,15 @@
 
 /** The waiting requests of one target. */
 export type TurnQueue = {
-	/** Resolves with the request's turn. A request whose caller gives up is withdrawn. */
+	/**
+	 * Resolves with the decision on the request. A request whose caller gives up
+	 * is withdrawn.
+	 */
 	wait(facts: CallFacts, signal: AbortSignal): Promise<QueueDecision>;
-	/** Settles every turn that is due; to be called when a slot is free. */
+	/**
+	 * Settles every request whose decision is due; to be called when a slot is
+	 * free.
+	 */
 	dispatchTurns(): void;
 	/** Drains the admission and settles every waiting request. */
 	drain(): void;
