--- a/packages/experiment/src/capacity.ts
+++ b/packages/experiment/src/capacity.ts
@@ -147,8 +147,9 @@
 
 /**
  * Maximum rate that the services above the deepest allow, in requests per
- * second. Each limits it to its slots divided by the time for which a request
- * holds one: its work plus its downstream calls, without queueing.
+ * second. Each service limits the rate to its slots divided by the time for
+ * which a request holds one: its work plus its downstream calls, without
+ * queueing.
  */
 function computeUpstreamBound(
 	{services}: Deployment,
