--- a/packages/decisions/src/slow-start.ts
+++ b/packages/decisions/src/slow-start.ts
@@ -3,8 +3,7 @@
  *
  * Load pattern: a cold target joins a busy group. It looks idle, so every entry
  * node prefers it while its empty caches make it slow: requests time out for
- * some seconds after each restart. Here its load grows only with its
- * answers.
+ * some seconds after each restart. Here its load grows only with its answers.
  */
 import type {TargetView} from './target-view.js';
 
