--- a/packages/history/src/checkers.ts
+++ b/packages/history/src/checkers.ts
@@ -119,11 +119,11 @@
 
 function groupBy<T>(
 	items: readonly T[],
-	nameOf: (item: T) => string,
+	keyOf: (item: T) => string,
 ): Map<string, T[]> {
 	const groups = new Map<string, T[]>();
 	for (const item of items) {
-		const name = nameOf(item);
+		const name = keyOf(item);
 		const group = groups.get(name) ?? [];
 		group.push(item);
 		groups.set(name, group);
--- a/packages/storage/src/http-exchange.ts
+++ b/packages/storage/src/http-exchange.ts
@@ -41,7 +41,7 @@
 };
 
 const connections = 4;
-const keepAlive = 30_000;
+const keepAliveMs = 30_000;
 
 /** Creates an exchanger with at most four connections. */
 export function createExchanger(options: ExchangerOptions): Exchanger {
@@ -49,7 +49,7 @@
 	const origin = address.includes('://') ? address : `http://${address}`;
 	const pool = new Pool(origin, {
 		connections,
-		keepAliveTimeout: keepAlive,
+		keepAliveTimeout: keepAliveMs,
 		connect: {timeout},
 	});
 	const authorization = credential
@@ -68,11 +68,11 @@
 					method,
 					path,
 					signal: abort.signal,
-					headers: {...authorization, ...describeBody(body)},
+					headers: {...authorization, ...bodyHeaders(body)},
 					body:
 						body === undefined
 							? null
-							: drawBody(body, () => {
+							: streamBody(body, () => {
 									handedOver = true;
 								}),
 				});
@@ -97,18 +97,18 @@
 }
 
 /** Gives the body when the open connection asks for it. */
-function drawBody(body: string, onDrawn: () => void): Readable {
+function streamBody(body: string, onRead: () => void): Readable {
 	return new Readable({
 		highWaterMark: 0,
 		read() {
-			onDrawn();
+			onRead();
 			this.push(new TextEncoder().encode(body));
 			this.push(null);
 		},
 	});
 }
 
-function describeBody(body: string | undefined): Record<string, string> {
+function bodyHeaders(body: string | undefined): Record<string, string> {
 	return body === undefined
 		? {}
 		: {
--- a/packages/storage/src/http-platform.ts
+++ b/packages/storage/src/http-platform.ts
@@ -92,9 +92,9 @@
 	effect: Effect,
 ): Result<Answer, PlatformError> {
 	if (result.kind === 'failed') {
-		const isOpen = effect === 'write' && result.handedOver;
+		const mayHaveEffect = effect === 'write' && result.handedOver;
 		return err({
-			kind: isOpen ? 'unknown' : 'unavailable',
+			kind: mayHaveEffect ? 'unknown' : 'unavailable',
 			detail: result.detail,
 		});
 	}
@@ -116,9 +116,9 @@
 		return {kind: 'conflict', detail: conflict?.detail ?? 'a condition failed'};
 	}
 
-	const certified = answer.effect === noEffect;
+	const isCertified = answer.effect === noEffect;
 	return {
-		kind: effect === 'read' || certified ? 'unavailable' : 'unknown',
+		kind: effect === 'read' || isCertified ? 'unavailable' : 'unknown',
 		detail: `the platform answered ${answer.status}`,
 	};
 }
