--- a/packages/benchmark/src/control-fleet.ts
+++ b/packages/benchmark/src/control-fleet.ts
@@ -98,7 +98,7 @@
 				clock,
 				random: random.fork(),
 				send: createSend(tally, dataCentre),
-				async requestBody(address) {
+				async fetchConfiguration(address) {
 					carry(tally, {type: 'configurationRequest'});
 					const peer = findPeer(address, dataCentre);
 					const body = peer?.control.configuration.body();
--- a/packages/control/__tests__/configuration-watch.spec.ts
+++ b/packages/control/__tests__/configuration-watch.spec.ts
@@ -75,9 +75,11 @@
 
 	it('asks the peer that tells of a higher version', async () => {
 		const {watch} = createWatch();
-		await watch.hear(4, async () => bodyOf(4));
-		await watch.hear(2, async () => expect.fail('nobody asks for an old body'));
-		await watch.hear(9, async () => undefined);
+		await watch.receiveVersion(4, async () => bodyOf(4));
+		await watch.receiveVersion(2, async () =>
+			expect.fail('nobody asks for an old body'),
+		);
+		await watch.receiveVersion(9, async () => undefined);
 		expect(watch.current().version).to.equal(4);
 		expect(watch.source()).to.equal('peer');
 	});
@@ -88,7 +90,7 @@
 		const {watch, publish} = createWatch();
 		const rejected: RejectedBody[] = [];
 		void watch.rejected.observe((each) => rejected.push(each));
-		await watch.hear(4, async () => damage(bodyOf(4)));
+		await watch.receiveVersion(4, async () => damage(bodyOf(4)));
 		await publish(damage(bodyOf(5)));
 		await watch.readPlatform();
 		expect(watch.current().version).to.equal(0);
@@ -115,7 +117,7 @@
 		});
 
 		/** The versions that were in force, and whether each was whole. */
-		const play = async (
+		const runSchedule = async (
 			steps: Array<{way: string; version: number}>,
 			acceptance: AcceptanceRule,
 		) => {
@@ -126,14 +128,14 @@
 			});
 			const ways: Record<string, (version: number) => Promise<unknown>> = {
 				hear: async (version) =>
-					watch.hear(version, async () => bodyOf(version)),
+					watch.receiveVersion(version, async () => bodyOf(version)),
 				offer: async (version) => watch.offer(bodyOf(version), 'peer'),
 				async read(version) {
 					await publish(bodyOf(version));
 					await watch.readPlatform();
 				},
 				damaged: async (version) =>
-					watch.hear(version, async () => damage(bodyOf(version))),
+					watch.receiveVersion(version, async () => damage(bodyOf(version))),
 				async down() {
 					platform.faults.down = true;
 				},
@@ -149,7 +151,9 @@
 			return inForce;
 		};
 
-		const isSound = (inForce: Array<{version: number; isWhole: boolean}>) =>
+		const isMonotonicAndWhole = (
+			inForce: Array<{version: number; isWhole: boolean}>,
+		) =>
 			inForce.every(
 				({version, isWhole}, index) =>
 					isWhole && version > (inForce[index - 1]?.version ?? 0),
@@ -161,7 +165,9 @@
 			// configuration must not revert.
 			await fastCheck.assert(
 				fastCheck.asyncProperty(fastCheck.array(step), async (steps) =>
-					isSound(await play(steps, acceptanceRules.higherAndWhole)),
+					isMonotonicAndWhole(
+						await runSchedule(steps, acceptanceRules.higherAndWhole),
+					),
 				),
 				{seed: 41, numRuns: 500},
 			);
@@ -170,7 +176,9 @@
 		it('is seen to go down where the latest heard is taken', async () => {
 			const result = await fastCheck.check(
 				fastCheck.asyncProperty(fastCheck.array(step), async (steps) =>
-					isSound(await play(steps, acceptanceRules.latestHeard)),
+					isMonotonicAndWhole(
+						await runSchedule(steps, acceptanceRules.lastReceived),
+					),
 				),
 				{seed: 41, numRuns: 500},
 			);
--- a/packages/control/__tests__/configuration.spec.ts
+++ b/packages/control/__tests__/configuration.spec.ts
@@ -72,25 +72,43 @@
 	});
 
 	describe('classification', () => {
-		const look = (method: string, path: string, service = 'orders') => {
+		const describeClassification = (
+			method: string,
+			path: string,
+			service = 'orders',
+		) => {
 			const found = classify(configuration, service, method, path);
 			return `${found.requestClass} ${found.idempotent} ${found.deadline} ${found.attempts}`;
 		};
 
 		it('takes the rule of the longest path, the method before none', () => {
-			expect(look('POST', '/payments')).to.equal('essential false 2000 2');
-			expect(look('POST', '/payments/17?x=/')).to.equal(
+			expect(describeClassification('POST', '/payments')).to.equal(
 				'essential false 2000 2',
 			);
-			expect(look('POST', '/paymentsX')).to.equal('normal false 2000 2');
-			expect(look('PUT', '/history/')).to.equal('deferrable true 2000 2');
-			expect(look('PUT', '/history/notes/3')).to.equal('normal false 2000 2');
-			expect(look('GET', '/any', 'archive')).to.equal('deferrable true 4000 3');
+			expect(describeClassification('POST', '/payments/17?x=/')).to.equal(
+				'essential false 2000 2',
+			);
+			expect(describeClassification('POST', '/paymentsX')).to.equal(
+				'normal false 2000 2',
+			);
+			expect(describeClassification('PUT', '/history/')).to.equal(
+				'deferrable true 2000 2',
+			);
+			expect(describeClassification('PUT', '/history/notes/3')).to.equal(
+				'normal false 2000 2',
+			);
+			expect(describeClassification('GET', '/any', 'archive')).to.equal(
+				'deferrable true 4000 3',
+			);
 		});
 
 		it('falls back to safe defaults', () => {
-			expect(look('GET', '/payments')).to.equal('normal true 2000 2');
-			expect(look('POST', '/x', 'unknown')).to.equal('normal false 4000 3');
+			expect(describeClassification('GET', '/payments')).to.equal(
+				'normal true 2000 2',
+			);
+			expect(describeClassification('POST', '/x', 'unknown')).to.equal(
+				'normal false 4000 3',
+			);
 			const {idempotent} = classify(defaultConfiguration, 'a', 'DELETE', '/');
 			expect(idempotent).to.equal(false);
 		});
--- a/packages/control/__tests__/confirm.spec.ts
+++ b/packages/control/__tests__/confirm.spec.ts
@@ -8,7 +8,7 @@
 import {expect} from 'chai';
 import {
 	confirmPlan,
-	keepPlan,
+	storePlan,
 	preparePlan,
 	readHead,
 	readIntents,
@@ -33,7 +33,7 @@
 		options = {platform, clock, random: createRandom(5)};
 	});
 
-	const keep = async (
+	const storePlanFrom = async (
 		id: string,
 		text: string,
 		base: Configuration = defaultConfiguration,
@@ -46,8 +46,8 @@
 			base,
 			targets: [],
 		});
-		const kept = await keepPlan(platform, plan, body);
-		expect(kept.isOk()).to.equal(true);
+		const stored = await storePlan(platform, plan, body);
+		expect(stored.isOk()).to.equal(true);
 	};
 
 	/** Runs the clock until the confirmation has its answer. */
@@ -70,11 +70,11 @@
 	describe('two operators', () => {
 		/** Both plans are made from version 1; the answers come in the order of the confirmations. */
 		const race = async (headWrite: HeadWrite) => {
-			await keep('p0', '{service: orders, attempts: 1}');
+			await storePlanFrom('p0', '{service: orders, attempts: 1}');
 			await confirm('p0');
 			const base = await accepted();
-			await keep('p1', '{service: orders, attempts: 2}', base);
-			await keep('p2', '{service: boats, attempts: 3}', base);
+			await storePlanFrom('p1', '{service: orders, attempts: 2}', base);
+			await storePlanFrom('p2', '{service: boats, attempts: 3}', base);
 			platform.faults.delay = 20;
 			const first = confirmPlan('p1', {...options, headWrite});
 			const second = confirmPlan('p2', {...options, headWrite});
@@ -120,8 +120,8 @@
 		});
 
 		it('refuses a plan whose base has passed, later as well', async () => {
-			await keep('p1', '{service: orders}');
-			await keep('p2', '{service: boats}');
+			await storePlanFrom('p1', '{service: orders}');
+			await storePlanFrom('p2', '{service: boats}');
 			await confirm('p1');
 			const answer = await confirm('p2');
 			expect(answer).to.include({result: 'conflict', byPlan: 'p1'});
@@ -133,7 +133,7 @@
 			// The platform writes everything and the connection breaks before the
 			// answer. Told that it failed, the operator would plan the same again or
 			// believe that the old rules hold.
-			await keep('p1', '{service: orders}');
+			await storePlanFrom('p1', '{service: orders}');
 			platform.faults.lostAnswers = 1;
 			expect(await confirm('p1')).to.deep.equal({
 				result: 'accepted',
@@ -150,7 +150,7 @@
 		it('is told as unknown with the command that settles it when nobody can look', async () => {
 			// The answer is lost and the platform stays away. The truth can't be had
 			// now, and a guess either way would be wrong half of the time.
-			await keep('p1', '{service: orders}');
+			await storePlanFrom('p1', '{service: orders}');
 			platform.faults.lostAnswers = 1;
 			const confirming = confirmPlan('p1', options);
 			await clock.runTo(clock.now() + 1);
@@ -165,8 +165,8 @@
 		});
 
 		it('keeps the loser a loser when another plan wins meanwhile', async () => {
-			await keep('p1', '{service: orders}');
-			await keep('p2', '{service: boats}');
+			await storePlanFrom('p1', '{service: orders}');
+			await storePlanFrom('p2', '{service: boats}');
 			platform.faults.lostAnswers = 1;
 			const first = confirmPlan('p1', options);
 			const second = await confirm('p2');
@@ -178,7 +178,7 @@
 			// The platform is slow: the client has given up, and the write lands
 			// later. The repeat carries the same conditions, so only one of the two
 			// can take effect, and no version is skipped.
-			await keep('p1', '{service: orders}');
+			await storePlanFrom('p1', '{service: orders}');
 			const delays = [2200];
 			const slow: Platform = {
 				...platform,
@@ -206,7 +206,7 @@
 
 	describe('the platform between plan and confirm', () => {
 		it('says unavailable when it is down, and the plan is good later', async () => {
-			await keep('p1', '{service: orders}');
+			await storePlanFrom('p1', '{service: orders}');
 			platform.faults.down = true;
 			expect(await confirm('p1')).to.include({
 				result: 'unavailable',
@@ -217,7 +217,7 @@
 		});
 
 		it('confirms on a slow platform', async () => {
-			await keep('p1', '{service: orders}');
+			await storePlanFrom('p1', '{service: orders}');
 			platform.faults.delay = 1500;
 			expect(await confirm('p1')).to.include({result: 'accepted', version: 1});
 		});
@@ -232,7 +232,10 @@
 			{length: 400},
 			(_, index) => `{match: {path: /part-${index}}, class: essential}`,
 		);
-		await keep('p1', `{service: orders, requests: [${many.join(', ')}]}`);
+		await storePlanFrom(
+			'p1',
+			`{service: orders, requests: [${many.join(', ')}]}`,
+		);
 		expect(await confirm('p1')).to.include({result: 'accepted'});
 		const after = await accepted();
 		expect(after.services[0]?.requests).to.have.length(400);
--- a/packages/control/__tests__/control-network.ts
+++ b/packages/control/__tests__/control-network.ts
@@ -37,7 +37,7 @@
 	cut(isCut: (from: string, to: string) => boolean): void;
 };
 
-const oneWay = 1;
+const oneWayDelay = 1;
 
 /** Creates a network without nodes; a node's name starts with its data centre. */
 export function createNetwork(options: {
@@ -48,7 +48,7 @@
 }): Network {
 	const {clock, platform, seed = 1, defaults = {}} = options;
 	const random = createRandom(seed);
-	const byAddress = new Map<string, NetworkNode & {isUp: () => boolean}>();
+	const nodesByAddress = new Map<string, NetworkNode & {isUp: () => boolean}>();
 	let isCut: (from: string, to: string) => boolean = () => false;
 	const network: Network = {
 		nodes: [],
@@ -58,14 +58,14 @@
 		},
 		async add(name, overrides = {}) {
 			const [dataCentre = ''] = name.split('-');
-			const address = `${name}:${byAddress.size}`;
+			const address = `${name}:${nodesByAddress.size}`;
 			const stop = new AbortController();
 			const gate = createGate(clock);
 			let isAlive = true;
 			const reach = async (to: string) => {
 				network.messages++;
-				await sleep(clock, oneWay);
-				const peer = byAddress.get(to);
+				await sleep(clock, oneWayDelay);
+				const peer = nodesByAddress.get(to);
 				const isReachable =
 					peer?.isUp() === true &&
 					isAlive &&
@@ -85,14 +85,14 @@
 				async send(to, probe: ProbeMessage) {
 					const peer = await reach(to);
 					const answer = peer?.control.receiveProbe(probe);
-					await sleep(clock, oneWay);
+					await sleep(clock, oneWayDelay);
 					await gate.pass();
-					const isBack = peer && !isCut(peer.dataCentre, dataCentre);
-					return isBack && answer ? answer : undefined;
+					const isReturnLinkUp = peer && !isCut(peer.dataCentre, dataCentre);
+					return isReturnLinkUp && answer ? answer : undefined;
 				},
-				async requestBody(to) {
+				async fetchConfiguration(to) {
 					const peer = await reach(to);
-					await sleep(clock, oneWay);
+					await sleep(clock, oneWayDelay);
 					return peer?.control.configuration.body();
 				},
 				...defaults,
@@ -112,7 +112,7 @@
 				freeze: gate.close,
 				thaw: gate.open,
 			};
-			byAddress.set(address, node);
+			nodesByAddress.set(address, node);
 			network.nodes.push(node);
 			void control.configuration.accepted.observe(({version}) => {
 				node.versions.push(version);
--- a/packages/control/__tests__/gossip-queue.spec.ts
+++ b/packages/control/__tests__/gossip-queue.spec.ts
@@ -35,7 +35,7 @@
 		queue.take(1, 3);
 		queue.add('a', false);
 		expect(queue.size()).to.equal(1);
-		const turns = Array.from({length: 10}, () => queue.take(1, 3).length);
-		expect(turns.filter(Boolean)).to.have.length(4);
+		const batchSizes = Array.from({length: 10}, () => queue.take(1, 3).length);
+		expect(batchSizes.filter(Boolean)).to.have.length(4);
 	});
 });
--- a/packages/control/__tests__/lease.spec.ts
+++ b/packages/control/__tests__/lease.spec.ts
@@ -8,16 +8,16 @@
 		const pause = {length: 0};
 		const clock: Clock = {...real, now: () => real.now() + pause.length};
 		const lease = createLease(clock, 3000);
-		const told: number[] = [];
+		const reportedPauses: number[] = [];
 		const stop = new AbortController();
-		void lease.run(stop.signal, (length) => told.push(length));
-		return {real, pause, lease, told};
+		void lease.run(stop.signal, (length) => reportedPauses.push(length));
+		return {real, pause, lease, told: reportedPauses};
 	};
 
 	it('holds while the process runs', async () => {
 		const {real, lease, told} = create();
 		await real.runTo(60_000);
-		expect(lease.hasLapsed()).to.equal(false);
+		expect(lease.hasExpired()).to.equal(false);
 		expect(told).to.deep.equal([]);
 	});
 
@@ -28,9 +28,9 @@
 		const {real, pause, lease, told} = create();
 		await real.runTo(60_000);
 		pause.length = 10_000;
-		expect(lease.hasLapsed()).to.equal(true);
+		expect(lease.hasExpired()).to.equal(true);
 		await real.runTo(60_500);
-		expect(lease.hasLapsed()).to.equal(false);
+		expect(lease.hasExpired()).to.equal(false);
 		expect(told).to.deep.equal([10_500]);
 	});
 });
--- a/packages/control/__tests__/many-nodes.spec.ts
+++ b/packages/control/__tests__/many-nodes.spec.ts
@@ -7,7 +7,7 @@
 const nodesEach = 95;
 
 /** The two-year size, every node with its own phase of probes and reads. */
-const startMany = async (clock: VirtualClock) => {
+const startNodes = async (clock: VirtualClock) => {
 	const platform = createMemoryPlatform({clock});
 	platform.faults.delay = 5;
 	const network = createNetwork({clock, platform, seed: 11});
@@ -21,7 +21,7 @@
 };
 
 /** Plans and confirms a version; the instant at which it was accepted. */
-const accept = async (clock: VirtualClock, network: Network) => {
+const confirmVersion = async (clock: VirtualClock, network: Network) => {
 	const {control} = network.nodes[0]!;
 	const planning = control.plan({
 		author: 'esi',
@@ -49,7 +49,7 @@
 		// but the platform. A change that is confirmed now must be in force in both
 		// within seconds, or payments are treated differently from place to place.
 		const clock = createVirtualClock();
-		const {platform, network} = await startMany(clock);
+		const {platform, network} = await startNodes(clock);
 		const {reads} = platform.counters;
 		const from = clock.now();
 		await clock.runTo(from + 4000);
@@ -62,7 +62,7 @@
 				(one !== other && ends.has('dc4') && !ends.has('platform'))
 			);
 		});
-		const version = await accept(clock, network);
+		const version = await confirmVersion(clock, network);
 		expect(version).to.equal(1);
 		await clock.runTo(clock.now() + 4000);
 		expect(countInForce(network, version)).to.equal(dataCentres * nodesEach);
--- a/packages/control/__tests__/membership-network.spec.ts
+++ b/packages/control/__tests__/membership-network.spec.ts
@@ -140,7 +140,7 @@
 			// nodes still have it as active; if they were believed, new work would go
 			// to it again.
 			const {clock, network} = await startNetwork({
-				timing: {wholePeriod: 500},
+				timing: {fullSyncInterval: 500},
 			});
 			network.cut((from, to) => from !== to && [from, to].includes('dc3'));
 			find(network, 'dc1-b').control.leave();
@@ -178,8 +178,8 @@
 		});
 
 		it('undo it where the latest heard is taken', async () => {
-			const {latestHeard} = mergeRules;
-			const state = await deliverLateProbe({isNewer: latestHeard});
+			const {lastReceived} = mergeRules;
+			const state = await deliverLateProbe({isNewer: lastReceived});
 			expect(state).to.equal('active');
 		});
 	});
--- a/packages/control/__tests__/membership.spec.ts
+++ b/packages/control/__tests__/membership.spec.ts
@@ -12,7 +12,7 @@
 import {announceChange, reincarnate, refute} from '../src/own-record.js';
 import {createMember} from './control-network.js';
 
-const limits = {suspicion: 3000, remembrance: 60_000};
+const limits = {suspicionTimeout: 3000, goneRetention: 60_000};
 
 const createState = (other: Partial<Member> = {}) => {
 	const state = createMembershipState(createMember('self'), 0);
@@ -37,11 +37,11 @@
 		// incarnation, since its keys are still remembered.
 		const own = createMember('b', {state: 'active', heartbeat: 4});
 		const state = createState({heartbeat: 4});
-		for (const rumoured of ['suspect', 'gone'] as const) {
+		for (const claimedState of ['suspect', 'gone'] as const) {
 			const {heartbeat} = state.entries.get('b')!.member;
-			mergeMember(state, {...own, heartbeat, state: rumoured}, 10);
-			const rumour = state.entries.get('b')!.member;
-			const answer = refute({...own, heartbeat}, rumour)!;
+			mergeMember(state, {...own, heartbeat, state: claimedState}, 10);
+			const claim = state.entries.get('b')!.member;
+			const answer = refute({...own, heartbeat}, claim)!;
 			expect(answer.incarnation).to.equal(own.incarnation);
 			mergeMember(state, answer, 20);
 			expect(state.entries.get('b')?.member.state).to.equal('active');
@@ -118,7 +118,7 @@
 		it('falls where the latest heard is taken', () => {
 			const result = fastCheck.check(
 				fastCheck.property(fastCheck.array(stale), (records) =>
-					staysGone(records, mergeRules.latestHeard),
+					staysGone(records, mergeRules.lastReceived),
 				),
 				{seed: 7, numRuns: 500},
 			);
--- a/packages/control/src/catch-up.ts
+++ b/packages/control/src/catch-up.ts
@@ -14,18 +14,18 @@
  */
 import type {Member} from '@egretspoke/protocol';
 import {sample, type Clock, type Random} from '@egretspoke/shared';
-import {newsLimits, type MembershipTiming} from './membership-timing.js';
+import {gossipLimits, type MembershipTiming} from './membership-timing.js';
 
 /** Notes returns and acts on them. */
 export type CatchUp = {
 	/** A member came back. */
-	note(member: Member): void;
+	recordRejoin(member: Member): void;
 	/** To be called often; does what is due. */
-	act(): Promise<void>;
+	runDue(): Promise<void>;
 };
 
 /** Returns within a pause that don't fit into the news of one message. */
-const manyReturns = newsLimits.probe;
+const maxRejoinsWithoutSync = gossipLimits.probe;
 
 /** Creates the catch-up of one node. */
 export function createCatchUp(options: {
@@ -34,15 +34,23 @@
 	timing: MembershipTiming;
 	present: () => Member[];
 	/** When all members were last asked for. */
-	lastJoin: () => number;
+	lastFullSyncAt: () => number;
 	join: (addresses: string[]) => Promise<unknown>;
-	reachLost: () => Promise<void>;
+	probeGoneMember: () => Promise<void>;
 }): CatchUp {
-	const {clock, random, timing, present, lastJoin, join, reachLost} = options;
-	let firstReturn = Number.NEGATIVE_INFINITY;
-	let returns = new Map<string, Member>();
+	const {
+		clock,
+		random,
+		timing,
+		present,
+		lastFullSyncAt,
+		join,
+		probeGoneMember,
+	} = options;
+	let firstRejoinAt = Number.NEGATIVE_INFINITY;
+	let rejoined = new Map<string, Member>();
 
-	const askOneOf = async (members: Member[]) => {
+	const syncWithOneOf = async (members: Member[]) => {
 		const dataCentres = new Set(members.map(({dataCentre}) => dataCentre));
 		const candidates = present().filter(({dataCentre}) =>
 			dataCentres.has(dataCentre),
@@ -54,36 +62,39 @@
 	};
 
 	const pause = () =>
-		Math.max(timing.returnPause, present().length * timing.returnPauseEach);
+		Math.max(
+			timing.minRejoinSyncInterval,
+			present().length * timing.minRejoinSyncIntervalPerMember,
+		);
 
 	return {
-		note(member) {
-			if (returns.size === 0) {
-				firstReturn = clock.now();
+		recordRejoin(member) {
+			if (rejoined.size === 0) {
+				firstRejoinAt = clock.now();
 			}
 
-			returns.set(member.node, member);
+			rejoined.set(member.node, member);
 		},
-		async act() {
-			if (returns.size === 0) {
+		async runDue() {
+			if (rejoined.size === 0) {
 				return;
 			}
 
 			const now = clock.now();
-			const delay = timing.returnDelay * (1 + random.fraction());
-			const at = Math.max(firstReturn + delay, lastJoin() + pause());
-			if (returns.size > manyReturns && now >= at) {
-				const returned = [...returns.values()];
-				returns = new Map();
-				await askOneOf(returned);
+			const delay = timing.rejoinSyncDelay * (1 + random.fraction());
+			const at = Math.max(firstRejoinAt + delay, lastFullSyncAt() + pause());
+			if (rejoined.size > maxRejoinsWithoutSync && now >= at) {
+				const returned = [...rejoined.values()];
+				rejoined = new Map();
+				await syncWithOneOf(returned);
 				return;
 			}
 
-			if (now - firstReturn > timing.returnPause) {
-				returns = new Map();
+			if (now - firstRejoinAt > timing.minRejoinSyncInterval) {
+				rejoined = new Map();
 			}
 
-			await reachLost();
+			await probeGoneMember();
 		},
 	};
 }
--- a/packages/control/src/classification.ts
+++ b/packages/control/src/classification.ts
@@ -91,15 +91,15 @@
 	method: string,
 	path: string,
 ): RequestRule | undefined {
-	const ofMethod = rules.get(method);
-	const ofAny = rules.get(anyMethod);
-	if (!ofMethod && !ofAny) {
+	const methodRules = rules.get(method);
+	const anyMethodRules = rules.get(anyMethod);
+	if (!methodRules && !anyMethodRules) {
 		return undefined;
 	}
 
 	let prefix = trimSlash(withoutQuery(path));
 	for (;;) {
-		const rule = ofMethod?.get(prefix) ?? ofAny?.get(prefix);
+		const rule = methodRules?.get(prefix) ?? anyMethodRules?.get(prefix);
 		if (rule ?? prefix === '') {
 			return rule;
 		}
--- a/packages/control/src/configuration-acceptance.ts
+++ b/packages/control/src/configuration-acceptance.ts
@@ -10,13 +10,13 @@
 import {err, ok, type Result} from 'neverthrow';
 import {
 	readConfiguration,
-	type BodyFault,
+	type InvalidBodyReason,
 	type Configuration,
 	type ConfigurationBody,
 } from './configuration.js';
 
 /** Why an offered body was not taken. */
-export type Rejection = BodyFault | 'notHigher';
+export type Rejection = InvalidBodyReason | 'notHigher';
 
 /** Decides about versions that are heard of and bodies that are offered. */
 export type AcceptanceRule = {
@@ -37,7 +37,7 @@
 				? readConfiguration(offer)
 				: err('notHigher'),
 	},
-	latestHeard: {
+	lastReceived: {
 		isWanted: (current, version) => version !== current.version,
 		accept: (_current, offer) =>
 			readConfiguration(offer).orElse(() =>
--- a/packages/control/src/configuration-store.ts
+++ b/packages/control/src/configuration-store.ts
@@ -23,7 +23,7 @@
 /** Characters above which a body goes to the object store. */
 const inlineLimit = 8192;
 
-const keptBodySchema = z.object({
+const storedBodySchema = z.object({
 	version: z.number().int().positive(),
 	checksum: z.string(),
 	/** The text itself, or the name of its object. */
@@ -40,17 +40,17 @@
 
 const planRecordSchema = z.object({
 	plan: planSchema,
-	body: keptBodySchema,
+	body: storedBodySchema,
 	/** Present once the plan was accepted. */
 	acceptedVersion: z.number().int().positive().optional(),
 });
 
 export type Head = z.infer<typeof headSchema>;
-export type KeptBody = z.infer<typeof keptBodySchema>;
+export type StoredBody = z.infer<typeof storedBodySchema>;
 export type PlanRecord = z.infer<typeof planRecordSchema>;
 
 /** A record with the row version that a condition can name; 0 when absent. */
-export type Kept<T> = {rowVersion: number; value: T | undefined};
+export type Stored<T> = {rowVersion: number; value: T | undefined};
 
 export function planKey(id: string): string {
 	return `plan/${id}`;
@@ -62,7 +62,7 @@
 
 export function readHead(
 	platform: Platform,
-): ResultAsync<Kept<Head>, PlatformError> {
+): ResultAsync<Stored<Head>, PlatformError> {
 	return platform.table
 		.read(headKey)
 		.andThen((row) => readRecord(row, headSchema));
@@ -71,7 +71,7 @@
 export function readPlan(
 	platform: Platform,
 	id: string,
-): ResultAsync<Kept<PlanRecord>, PlatformError> {
+): ResultAsync<Stored<PlanRecord>, PlatformError> {
 	return platform.table
 		.read(planKey(id))
 		.andThen((row) => readRecord(row, planRecordSchema));
@@ -84,7 +84,7 @@
 ): ResultAsync<ConfigurationBody | undefined, PlatformError> {
 	return platform.table
 		.read(versionKey(version))
-		.andThen((row) => readRecord(row, keptBodySchema))
+		.andThen((row) => readRecord(row, storedBodySchema))
 		.andThen(({value}) =>
 			value ? fetchBody(platform, value) : okAsync(undefined),
 		);
@@ -101,7 +101,7 @@
 }
 
 /** Keeps a plan that is not accepted yet; its large body goes ahead of it. */
-export function keepPlan(
+export function storePlan(
 	platform: Platform,
 	plan: Plan,
 	body: ConfigurationBody,
@@ -132,9 +132,9 @@
 
 function fetchBody(
 	platform: Platform,
-	kept: KeptBody,
+	stored: StoredBody,
 ): ResultAsync<ConfigurationBody | undefined, PlatformError> {
-	const {version, checksum, text, object} = kept;
+	const {version, checksum, text, object} = stored;
 	if (object === undefined) {
 		return okAsync({version, checksum, text: text ?? ''});
 	}
@@ -150,7 +150,7 @@
 function readRecord<T>(
 	row: Row | undefined,
 	schema: z.ZodType<T>,
-): ResultAsync<Kept<T>, PlatformError> {
+): ResultAsync<Stored<T>, PlatformError> {
 	if (!row) {
 		return okAsync({rowVersion: 0, value: undefined});
 	}
--- a/packages/control/src/configuration-watch.ts
+++ b/packages/control/src/configuration-watch.ts
@@ -61,7 +61,7 @@
 		source: ConfigurationSource,
 	): Result<Configuration, Rejection>;
 	/** A peer said that it has this version; `fetch` asks that peer for the body. */
-	hear(
+	receiveVersion(
 		version: number,
 		fetch: () => Promise<ConfigurationBody | undefined>,
 	): Promise<void>;
@@ -76,7 +76,7 @@
 	platform: Platform;
 	clock: Clock;
 	random: Random;
-	period?: number;
+	interval?: number;
 	/** Only tests take another than the default. */
 	acceptance?: AcceptanceRule;
 };
@@ -86,19 +86,19 @@
  * table's 2,000, and a change is in force within 2.4 s and two reads, below
  * the 4 s that are promised.
  */
-const defaultPeriod = 2000;
+const defaultInterval = 2000;
 
 /** Each wait is drawn from 0.8 to 1.2 periods, so that nodes don't read in step. */
 const jitter = 0.2;
 
 /** Bodies asked of peers at once, unless a still higher version is told. */
-const mostFetches = 2;
+const maxConcurrentFetches = 2;
 
 /** Creates the watch with the built-in defaults in force. */
 export function createConfigurationWatch(
 	options: ConfigurationWatchOptions,
 ): ConfigurationWatch {
-	const {platform, clock, random, period = defaultPeriod} = options;
+	const {platform, clock, random, interval: period = defaultInterval} = options;
 	const {acceptance = acceptanceRules.higherAndWhole} = options;
 	const accepted = createSubject<Configuration>();
 	const rejected = createSubject<RejectedBody>();
@@ -122,7 +122,7 @@
 		return result;
 	};
 
-	const noteState = (change: PlatformChange) => {
+	const updatePlatformState = (change: PlatformChange) => {
 		const isChanged = change.state !== platformState;
 		platformState = change.state;
 		if (isChanged) {
@@ -132,7 +132,7 @@
 
 	const readPlatform = async () => {
 		const head = await readHead(platform);
-		noteState(
+		updatePlatformState(
 			head.isOk()
 				? {state: 'reachable'}
 				: {state: 'unreachable', detail: head.error.detail},
@@ -160,10 +160,10 @@
 			return version === 0 ? undefined : {version, checksum, text};
 		},
 		offer,
-		async hear(version, fetch) {
+		async receiveVersion(version, fetch) {
 			const isWanted = acceptance.isWanted(current, version);
-			const isSpare = fetching.length < mostFetches;
-			if (!isWanted || !(isSpare || version > Math.max(...fetching))) {
+			const hasCapacity = fetching.length < maxConcurrentFetches;
+			if (!isWanted || !(hasCapacity || version > Math.max(...fetching))) {
 				return;
 			}
 
--- a/packages/control/src/configuration.ts
+++ b/packages/control/src/configuration.ts
@@ -60,7 +60,7 @@
 };
 
 /** Why a body was not taken. */
-export type BodyFault = 'checksum' | 'malformed' | 'version';
+export type InvalidBodyReason = 'checksum' | 'malformed' | 'version';
 
 /** The built-in defaults: every request normal, only GET and HEAD idempotent. */
 export const defaultConfiguration: Configuration = {
@@ -76,7 +76,7 @@
 	version: number,
 	services: ServiceConfiguration[],
 ): ConfigurationBody {
-	const sorted = services.toSorted(by(({service}) => service));
+	const sorted = services.toSorted(compareBy(({service}) => service));
 	const text = JSON.stringify({
 		format: 1,
 		version,
@@ -88,7 +88,7 @@
 /** Reads a body; refuses one that is damaged, malformed or of another version. */
 export function readConfiguration(
 	body: ConfigurationBody,
-): Result<Configuration, BodyFault> {
+): Result<Configuration, InvalidBodyReason> {
 	if (checksumOf(body.text) !== body.checksum) {
 		return err('checksum');
 	}
@@ -118,7 +118,7 @@
 		}
 	}
 
-	return [...merged.values()].toSorted(by(({service}) => service));
+	return [...merged.values()].toSorted(compareBy(({service}) => service));
 }
 
 /** What the configuration wants of a node's target; undefined when it says nothing. */
@@ -167,11 +167,11 @@
 				class: requestClass,
 				idempotent,
 			}))
-			.sort(by((rule) => describeMatch(rule))),
+			.sort(compareBy((rule) => describeMatch(rule))),
 		calls: calls.toSorted(),
 		targets: targets
 			.map(({node, intent}) => ({node, intent}))
-			.sort(by(({node}) => node)),
+			.sort(compareBy(({node}) => node)),
 	};
 }
 
@@ -180,7 +180,7 @@
 	return method === undefined ? path : `${method} ${path}`;
 }
 
-function by<T>(keyOf: (value: T) => string) {
+function compareBy<T>(keyOf: (value: T) => string) {
 	return (left: T, right: T) => {
 		const [first, second] = [keyOf(left), keyOf(right)];
 		return first === second ? 0 : first < second ? -1 : 1;
--- a/packages/control/src/confirm.ts
+++ b/packages/control/src/confirm.ts
@@ -21,7 +21,7 @@
 	readPlan,
 	versionKey,
 	type Head,
-	type Kept,
+	type Stored,
 	type PlanRecord,
 } from './configuration-store.js';
 
@@ -92,7 +92,7 @@
 	const current = head.value.value;
 	const isBase = (current?.version ?? 0) === record.plan.baseVersion;
 	if (!isBase && options.headWrite !== 'overwrite') {
-		return decideLoss(id, record, current, platform);
+		return resolveConflict(id, record, current, platform);
 	}
 
 	return write(id, {record, plan: plan.value, head: head.value}, options);
@@ -100,7 +100,7 @@
 
 async function write(
 	id: string,
-	found: {record: PlanRecord; plan: Kept<PlanRecord>; head: Kept<Head>},
+	found: {record: PlanRecord; plan: Stored<PlanRecord>; head: Stored<Head>},
 	options: ConfirmOptions,
 ): Promise<Attempt> {
 	const {platform, headWrite = 'compareAndSet'} = options;
@@ -140,22 +140,22 @@
 	const now = await readHead(platform);
 	return now.isErr()
 		? err(now.error)
-		: decideLoss(id, record, now.value.value, platform);
+		: resolveConflict(id, record, now.value.value, platform);
 }
 
 /** The head is not the plan's base: either another plan won, or this one did earlier. */
-async function decideLoss(
+async function resolveConflict(
 	id: string,
 	record: PlanRecord,
 	head: Head | undefined,
 	platform: Platform,
 ): Promise<Attempt> {
-	const again = await readPlan(platform, id);
-	if (again.isErr()) {
-		return err(again.error);
+	const reread = await readPlan(platform, id);
+	if (reread.isErr()) {
+		return err(reread.error);
 	}
 
-	const accepted = again.value.value?.acceptedVersion;
+	const accepted = reread.value.value?.acceptedVersion;
 	return ok(
 		accepted === undefined
 			? {
--- a/packages/control/src/control.ts
+++ b/packages/control/src/control.ts
@@ -41,12 +41,14 @@
 	/** Sends a probe to a peer listener. */
 	send: SendProbe;
 	/** Sends `configurationRequest` to a peer listener; undefined when no body came. */
-	requestBody: (address: string) => Promise<ConfigurationBody | undefined>;
+	fetchConfiguration: (
+		address: string,
+	) => Promise<ConfigurationBody | undefined>;
 	/** Peer addresses from the settings; they help a start without the platform. */
 	peers?: string[];
 	timing?: Partial<MembershipTiming>;
 	/** Milliseconds between reads of the head row. */
-	readPeriod?: number;
+	readInterval?: number;
 	/** Only tests take others than the defaults. */
 	acceptance?: AcceptanceRule;
 	isNewer?: MergeRule;
@@ -72,29 +74,36 @@
 };
 
 /** Milliseconds between two tries of a node that knows nobody. */
-const alonePeriod = 2000;
+const isolatedDiscoveryInterval = 2000;
 
 /** Milliseconds between two looks at the seed rows otherwise. */
-const seedPeriod = 300_000;
+const discoveryInterval = 300_000;
 
 /** Milliseconds for which a start waits for a platform that doesn't answer. */
-const startPatience = 3000;
+const startTimeout = 3000;
 
 /** Creates control of one node; it sends nothing before `start`. */
 export function createControl(options: ControlOptions): Control {
-	const {platform, clock, random, send, requestBody, peers = []} = options;
+	const {
+		platform,
+		clock,
+		random,
+		send,
+		fetchConfiguration,
+		peers = [],
+	} = options;
 	const configuration = createConfigurationWatch({
 		...options,
-		...(options.readPeriod !== undefined && {period: options.readPeriod}),
+		...(options.readInterval !== undefined && {interval: options.readInterval}),
 	});
 	const membership = createMembership({
 		...options,
 		send,
-		hearVersion(version, address) {
-			const hearing = configuration.hear(version, async () =>
-				requestBody(address),
+		onPeerVersion(version, address) {
+			const fetching = configuration.receiveVersion(version, async () =>
+				fetchConfiguration(address),
 			);
-			void track(hearing);
+			void trackFetch(fetching);
 		},
 	});
 	const seeds = createSeedRows({
@@ -103,25 +112,25 @@
 		random,
 		self: membership.self,
 	});
-	const hearings = new Set<Promise<void>>();
+	const pendingFetches = new Set<Promise<void>>();
 	let isLeavingByIntent = false;
 
-	const track = async (hearing: Promise<void>) => {
-		hearings.add(hearing);
+	const trackFetch = async (hearing: Promise<void>) => {
+		pendingFetches.add(hearing);
 		await hearing;
-		hearings.delete(hearing);
+		pendingFetches.delete(hearing);
 	};
 
-	const follow = (accepted: Configuration) => {
+	const applyConfiguration = (accepted: Configuration) => {
 		const {node, state} = membership.self();
 		const intent = targetIntentOf(accepted, node);
-		const isReturn = isLeavingByIntent && intent !== 'leave';
-		const isTaking = state === 'active' || state === 'joining';
+		const isRejoin = isLeavingByIntent && intent !== 'leave';
+		const isAcceptingWork = state === 'active' || state === 'joining';
 		const {version} = accepted;
-		if (intent === 'leave' && isTaking) {
+		if (intent === 'leave' && isAcceptingWork) {
 			isLeavingByIntent = true;
 			membership.announce({state: 'leaving', configurationVersion: version});
-		} else if (isReturn && state === 'leaving') {
+		} else if (isRejoin && state === 'leaving') {
 			isLeavingByIntent = false;
 			membership.announce({state: 'active', configurationVersion: version});
 		} else {
@@ -129,9 +138,9 @@
 		}
 	};
 
-	void configuration.accepted.observe(follow);
+	void configuration.accepted.observe(applyConfiguration);
 
-	const findMembers = async () => {
+	const discoverMembers = async () => {
 		const rows = await seeds.list();
 		return membership.join([...rows, ...peers]);
 	};
@@ -141,25 +150,25 @@
 		await Promise.all([
 			configuration.readPlatform(),
 			membership.join(peers),
-			findMembers(),
+			discoverMembers(),
 		]);
-		await Promise.all(hearings);
+		await Promise.all(pendingFetches);
 	};
 
-	const isAlone = () =>
+	const isIsolated = () =>
 		membership
 			.members()
 			.every(
 				({state, node}) => node === membership.self().node || state === 'gone',
 			);
 
-	const keepFinding = async (signal: AbortSignal) => {
+	const discoverPeriodically = async (signal: AbortSignal) => {
 		while (!signal.aborted) {
-			const wait = isAlone() ? alonePeriod : seedPeriod;
+			const wait = isIsolated() ? isolatedDiscoveryInterval : discoveryInterval;
 			// eslint-disable-next-line no-await-in-loop -- one look after another.
 			await sleep(clock, wait * (0.8 + 0.4 * random.fraction()), signal);
 			// eslint-disable-next-line no-await-in-loop -- one look after another.
-			await findMembers();
+			await discoverMembers();
 		}
 	};
 
@@ -181,15 +190,15 @@
 			void membership.run(signal);
 			void configuration.run(signal);
 			void seeds.run(signal);
-			void keepFinding(signal);
-			await Promise.race([learn(), sleep(clock, startPatience, signal)]);
+			void discoverPeriodically(signal);
+			await Promise.race([learn(), sleep(clock, startTimeout, signal)]);
 			if (membership.self().state === 'joining') {
 				membership.announce({state: 'active'});
 			}
 		},
 		async end() {
 			membership.announce({state: 'gone'});
-			await Promise.all([membership.spread(), seeds.remove()]);
+			await Promise.all([membership.gossip(), seeds.remove()]);
 		},
 	};
 }
--- a/packages/control/src/gossip-queue.ts
+++ b/packages/control/src/gossip-queue.ts
@@ -10,7 +10,7 @@
 	/** Tells the node's record anew; urgent ones go before all others. */
 	add(node: string, isUrgent: boolean): void;
 	/** The nodes to tell in the next message; counts them as told. */
-	take(most: number, members: number): string[];
+	take(maxRecords: number, members: number): string[];
 	size(): number;
 };
 
@@ -21,45 +21,47 @@
  * That will do for a start or a new version, of which there may be hundreds at
  * once, and not for an end.
  */
-const tellings = {urgent: 2, ordinary: 0.5};
+const transmissionsPerDoubling = {urgent: 2, ordinary: 0.5};
 
 /** The least number of tellings, for a handful of members. */
-const fewestTellings = 4;
+const minTransmissions = 4;
 
 /** Nodes that are still to be told, in turn, and how often they were. */
-type Turns = Map<string, number>;
+type TransmissionCounts = Map<string, number>;
 
 /** Creates an empty queue. */
 export function createGossipQueue(): GossipQueue {
-	const fresh = createLanes();
-	const told = createLanes();
+	const unsent = createLanes();
+	const resent = createLanes();
 
 	const remove = (node: string) => {
 		for (const lane of lanes) {
-			fresh[lane].delete(node);
-			told[lane].delete(node);
+			unsent[lane].delete(node);
+			resent[lane].delete(node);
 		}
 	};
 
 	return {
 		add(node, isUrgent) {
 			remove(node);
-			fresh[isUrgent ? 'urgent' : 'ordinary'].set(node, 0);
+			unsent[isUrgent ? 'urgent' : 'ordinary'].set(node, 0);
 		},
-		take(most, members) {
+		take(maxRecords, members) {
 			const doublings = Math.log2(members + 1);
-			const taken: Array<{node: string; times: number; lane: Lane}> = [];
+			const taken: Array<{node: string; sentCount: number; lane: Lane}> = [];
 			for (const lane of lanes) {
-				for (const {[lane]: turns} of [fresh, told]) {
-					const nodes = takeTurns(turns, most - taken.length);
-					taken.push(...nodes.map(([node, times]) => ({node, times, lane})));
+				for (const {[lane]: counts} of [unsent, resent]) {
+					const nodes = takeFirst(counts, maxRecords - taken.length);
+					taken.push(
+						...nodes.map(([node, sentCount]) => ({node, sentCount, lane})),
+					);
 				}
 			}
 
-			for (const {node, times, lane} of taken) {
-				const limit = Math.ceil(tellings[lane] * doublings);
-				if (times + 1 < Math.max(fewestTellings, limit)) {
-					told[lane].set(node, times + 1);
+			for (const {node, sentCount, lane} of taken) {
+				const limit = Math.ceil(transmissionsPerDoubling[lane] * doublings);
+				if (sentCount + 1 < Math.max(minTransmissions, limit)) {
+					resent[lane].set(node, sentCount + 1);
 				}
 			}
 
@@ -67,7 +69,7 @@
 		},
 		size: () =>
 			lanes.reduce(
-				(total, lane) => total + fresh[lane].size + told[lane].size,
+				(total, lane) => total + unsent[lane].size + resent[lane].size,
 				0,
 			),
 	};
@@ -78,7 +80,7 @@
 
 type Lane = (typeof lanes)[number];
 
-function createLanes(): Record<Lane, Turns> {
+function createLanes(): Record<Lane, TransmissionCounts> {
 	return {
 		urgent: new Map<string, number>(),
 		ordinary: new Map<string, number>(),
@@ -86,10 +88,13 @@
 }
 
 /** Takes the first entries out; a map keeps the order of their insertion. */
-function takeTurns(turns: Turns, most: number): Array<[string, number]> {
+function takeFirst(
+	counts: TransmissionCounts,
+	maxCount: number,
+): Array<[string, number]> {
 	const taken: Array<[string, number]> = [];
-	for (const entry of turns) {
-		if (taken.length >= most) {
+	for (const entry of counts) {
+		if (taken.length >= maxCount) {
 			break;
 		}
 
@@ -97,7 +102,7 @@
 	}
 
 	for (const [node] of taken) {
-		turns.delete(node);
+		counts.delete(node);
 	}
 
 	return taken;
--- a/packages/control/src/intent.ts
+++ b/packages/control/src/intent.ts
@@ -23,7 +23,7 @@
 	'OPTIONS',
 ] as const;
 
-const mostAttempts = 10;
+const maxAttempts = 10;
 
 const nameSchema = z
 	.string()
@@ -54,7 +54,7 @@
 	service: nameSchema,
 	/** Milliseconds that a first entry gives a request which states none. */
 	deadline: createDurationSchema({least: '10ms', most: '10m'}).optional(),
-	attempts: z.number().int().min(1).max(mostAttempts).optional(),
+	attempts: z.number().int().min(1).max(maxAttempts).optional(),
 	requests: z.array(requestIntentSchema).optional(),
 	calls: z.array(nameSchema).optional(),
 	targets: z.array(targetIntentSchema).optional(),
@@ -78,7 +78,7 @@
 	return readDocument({
 		...source,
 		schema: intentDocumentSchema,
-		check: findRepeats,
+		check: findDuplicates,
 	}).map((document) => (Array.isArray(document) ? document : [document]));
 }
 
@@ -86,21 +86,21 @@
 type Entry = {path: Path; name: string};
 
 /** Finds what the schema can't see: entries that name the same thing twice. */
-function findRepeats(value: unknown): DocumentIssue[] {
+function findDuplicates(value: unknown): DocumentIssue[] {
 	const services = Array.isArray(value) ? (value as unknown[]) : [value];
 	const isList = Array.isArray(value);
 	const named = services.flatMap((service, index) =>
 		nameEntry(service, [...(isList ? [index] : []), 'service'], ['service']),
 	);
 	return [
-		...listRepeats(named, 'the service'),
+		...listDuplicates(named, 'the service'),
 		...services.flatMap((service, index) =>
-			findRepeatsWithin(service, isList ? [index] : []),
+			findDuplicatesWithin(service, isList ? [index] : []),
 		),
 	];
 }
 
-function findRepeatsWithin(service: unknown, base: Path): DocumentIssue[] {
+function findDuplicatesWithin(service: unknown, base: Path): DocumentIssue[] {
 	const requests = listOf(service, 'requests').flatMap((request, index) =>
 		nameEntry(
 			request,
@@ -118,9 +118,9 @@
 	);
 	const self = calls.filter(({name}) => name === lookUp(service, ['service']));
 	return [
-		...listRepeats(requests, 'the match'),
-		...listRepeats(calls, 'the call'),
-		...listRepeats(targets, 'the target'),
+		...listDuplicates(requests, 'the match'),
+		...listDuplicates(calls, 'the call'),
+		...listDuplicates(targets, 'the target'),
 		...self.map(({path, name}) => ({
 			path,
 			message: `${name} calls itself`,
@@ -129,7 +129,7 @@
 	];
 }
 
-function listRepeats(entries: Entry[], what: string): DocumentIssue[] {
+function listDuplicates(entries: Entry[], label: string): DocumentIssue[] {
 	const seen = new Set<string>();
 	return entries.flatMap(({path, name}) => {
 		if (!seen.has(name)) {
@@ -140,7 +140,7 @@
 		return [
 			{
 				path,
-				message: `${what} ${name} is given twice`,
+				message: `${label} ${name} is given twice`,
 				advice: 'expected one entry',
 			},
 		];
--- a/packages/control/src/lease.ts
+++ b/packages/control/src/lease.ts
@@ -13,30 +13,30 @@
 /** Tells pauses from ordinary running. */
 export type Lease = {
 	/** True when the last pulse is older than the lease. */
-	hasLapsed(): boolean;
+	hasExpired(): boolean;
 	/** Pulses until the signal aborts; when a lapse is over, calls back with its length in milliseconds. */
-	run(signal: AbortSignal, onLapse: (pause: number) => void): Promise<void>;
+	run(signal: AbortSignal, onExpired: (pause: number) => void): Promise<void>;
 };
 
 /** Pulses within a lease, so that an ordinary late timer is no lapse. */
-const pulses = 6;
+const ticksPerLease = 6;
 
 /** Creates a lease of so many milliseconds. */
 export function createLease(clock: Clock, duration: number): Lease {
-	let lastPulse = clock.now();
-	const hasLapsed = () => clock.now() - lastPulse > duration;
+	let lastTick = clock.now();
+	const hasExpired = () => clock.now() - lastTick > duration;
 	return {
-		hasLapsed,
-		async run(signal, onLapse) {
-			lastPulse = clock.now();
+		hasExpired,
+		async run(signal, onExpired) {
+			lastTick = clock.now();
 			while (!signal.aborted) {
 				// eslint-disable-next-line no-await-in-loop -- one pulse after another.
-				await sleep(clock, duration / pulses, signal);
-				const pause = clock.now() - lastPulse;
-				const isLapse = hasLapsed() && !signal.aborted;
-				lastPulse = clock.now();
-				if (isLapse) {
-					onLapse(pause);
+				await sleep(clock, duration / ticksPerLease, signal);
+				const pause = clock.now() - lastTick;
+				const isExpired = hasExpired() && !signal.aborted;
+				lastTick = clock.now();
+				if (isExpired) {
+					onExpired(pause);
 				}
 			}
 		},
--- a/packages/control/src/member-view.ts
+++ b/packages/control/src/member-view.ts
@@ -10,7 +10,7 @@
 	compareRecords,
 	createMembershipState,
 	expireMembers,
-	hearMember,
+	recordContact,
 	isPresent,
 	mergeMember,
 	mergeRules,
@@ -38,16 +38,16 @@
 	 * What came with all members is not passed on: its sender's neighbours know
 	 * it, and a node that has just joined would have nothing but old news to tell.
 	 */
-	take(records: Member[], isWhole?: boolean): MemberChange[];
+	applyRecords(records: Member[], isWhole?: boolean): MemberChange[];
 	suspect(node: string): MemberChange | undefined;
 	expire(): void;
-	/** The own record, the addressee's where it should defend itself, and so many news. */
-	news(addressee: string | undefined, limit: number): Member[];
+	/** The own record, the recipient's where it should defend itself, and so many news. */
+	gossipFor(recipient: string | undefined, limit: number): Member[];
 	/**
 	 * The same for an answer to a sender, who also learns of a newer record of
 	 * itself, such as one of its earlier process whose wall time was ahead.
 	 */
-	answerNews(sender: Member | undefined, limit: number): Member[];
+	replyGossip(sender: Member | undefined, limit: number): Member[];
 	/** All members that are not gone, the own record first. */
 	whole(): Member[];
 };
@@ -66,8 +66,8 @@
 	const selfEntry = state.entries.get(state.self)!;
 	const self = () => selfEntry.member;
 
-	const note = (change: MemberChange, isNews = true) => {
-		if (isNews) {
+	const recordChange = (change: MemberChange, isGossiped = true) => {
+		if (isGossiped) {
 			queue.add(change.member.node, isUrgentChange(change));
 		}
 
@@ -87,11 +87,11 @@
 			.map(({member}) => member)
 			.filter(({node}) => node !== state.self);
 
-	const collectNews = (limit: number, rumour: Member | undefined) => {
+	const collectGossip = (limit: number, requiredRecord: Member | undefined) => {
 		const nodes = new Set(queue.take(limit, state.entries.size));
 		nodes.delete(state.self);
-		if (rumour) {
-			nodes.add(rumour.node);
+		if (requiredRecord) {
+			nodes.add(requiredRecord.node);
 		}
 
 		const records = [...nodes].map((node) => state.entries.get(node)?.member);
@@ -104,12 +104,12 @@
 		entries: () => [...state.entries.values()],
 		present: () => others().filter((member) => isPresent(member)),
 		gone: () =>
-			[...state.fading]
+			[...state.suspectOrGone]
 				.map((node) => state.entries.get(node)!.member)
 				.filter((member) => !isPresent(member)),
 		changes: changes.stream,
 		setSelf,
-		take(records, isWhole = false) {
+		applyRecords(records, isWhole = false) {
 			const now = clock.now();
 			const found: MemberChange[] = [];
 			for (const record of records) {
@@ -124,14 +124,14 @@
 
 				const change = mergeMember(state, record, now, isNewer);
 				if (change) {
-					note(change, !isWhole);
+					recordChange(change, !isWhole);
 					found.push(change);
 				}
 			}
 
 			const sender = records[0];
 			if (sender) {
-				hearMember(state, sender.node, now);
+				recordContact(state, sender.node, now);
 			}
 
 			return found;
@@ -139,32 +139,32 @@
 		suspect(node) {
 			const change = suspectMember(state, node, clock.now());
 			if (change) {
-				note(change);
+				recordChange(change);
 			}
 
 			return change;
 		},
 		expire() {
 			for (const change of expireMembers(state, clock.now(), timing)) {
-				note(change);
+				recordChange(change);
 			}
 		},
-		news(addressee, limit) {
-			const known = addressee ? state.entries.get(addressee) : undefined;
-			const isRumoured = known && mustDefend(known.member);
-			return collectNews(limit, isRumoured ? known.member : undefined);
+		gossipFor(recipient, limit) {
+			const known = recipient ? state.entries.get(recipient) : undefined;
+			const isAccused = known && isSuspectOrGone(known.member);
+			return collectGossip(limit, isAccused ? known.member : undefined);
 		},
-		answerNews(sender, limit) {
+		replyGossip(sender, limit) {
 			const known = sender && state.entries.get(sender.node)?.member;
-			const isBehind = known && compareRecords(known, sender) > 0;
-			return collectNews(limit, isBehind ? known : undefined);
+			const isOutdated = known && compareRecords(known, sender) > 0;
+			return collectGossip(limit, isOutdated ? known : undefined);
 		},
 		whole: () => [self(), ...others().filter((member) => isPresent(member))],
 	};
 }
 
 /** A member under suspicion learns of it at the first contact (Dadgar et al., Lifeguard, 2018). */
-function mustDefend({state}: Member): boolean {
+function isSuspectOrGone({state}: Member): boolean {
 	return state === 'suspect' || state === 'gone';
 }
 
@@ -177,7 +177,7 @@
 		return false;
 	}
 
-	const isNewLife = before.incarnation !== member.incarnation;
+	const isNewIncarnation = before.incarnation !== member.incarnation;
 	const isFirstActive = before.state === 'joining' && member.state === 'active';
-	return isNewLife || (before.state !== member.state && !isFirstActive);
+	return isNewIncarnation || (before.state !== member.state && !isFirstActive);
 }
--- a/packages/control/src/membership-service.ts
+++ b/packages/control/src/membership-service.ts
@@ -30,8 +30,8 @@
 } from './membership.js';
 import {
 	defaultTiming,
-	newsLimits,
-	spreadWidth,
+	gossipLimits,
+	gossipFanout,
 	type MembershipTiming,
 } from './membership-timing.js';
 import {announceChange, reincarnate, type OwnChange} from './own-record.js';
@@ -46,7 +46,7 @@
 	random: Random;
 	send: SendProbe;
 	/** Told of the version at the peer with each message that came in. */
-	hearVersion: (version: number, peerAddress: string) => void;
+	onPeerVersion: (version: number, peerAddress: string) => void;
 	/** Addresses from the settings, tried as long as nobody known has them. */
 	peers?: string[];
 	timing?: Partial<MembershipTiming>;
@@ -74,7 +74,7 @@
 	/** Asks some of these addresses for all members; the number that answered. */
 	join(addresses: string[]): Promise<number>;
 	/** Tells some members the news now. */
-	spread(): Promise<void>;
+	gossip(): Promise<void>;
 	/** Probes until the signal aborts. */
 	run(signal: AbortSignal): Promise<void>;
 };
@@ -84,13 +84,13 @@
  * its own process was held up and the answer may lie unread (Dadgar et al.,
  * Lifeguard, 2018). Suspecting then would have starved nodes give each other up.
  */
-const lateness = 1.5;
+const lateProbeFactor = 1.5;
 
 /** Creates membership; nothing is sent before `run`, `join` or `announce`. */
 export function createMembership(
 	options: MembershipOptions,
 ): MembershipService {
-	const {clock, random, send, hearVersion, peers = []} = options;
+	const {clock, random, send, onPeerVersion, peers = []} = options;
 	const timing = {...defaultTiming, ...options.timing};
 	const view = createMemberView({...options, timing});
 	const order = createProbeOrder(random.fork());
@@ -98,55 +98,56 @@
 	const lease = createLease(clock, timing.lease);
 	let isAnnouncing = false;
 
-	const takeIn = (
+	const applyMessage = (
 		message: ProbeMessage | AcknowledgementMessage,
 		isWhole = false,
 	) => {
 		const own = view.self();
-		const changes = view.take(message.members, isWhole);
+		const changes = view.applyRecords(message.members, isWhole);
 		if (view.self() !== own) {
-			void spread();
+			void gossip();
 		}
 
 		for (const change of changes) {
-			followUp(change);
+			handleChange(change);
 		}
 
 		const [sender] = message.members;
 		if (sender) {
-			hearVersion(message.configurationVersion, sender.peerAddress);
+			onPeerVersion(message.configurationVersion, sender.peerAddress);
 		}
 	};
 
-	const followUp = ({member, before}: MemberChange) => {
+	const handleChange = ({member, before}: MemberChange) => {
 		if (member.state === 'suspect') {
-			const chance = spreadWidth / Math.max(1, view.present().length);
-			if (random.fraction() < chance) {
-				order.prefer(member.node);
+			const probability = gossipFanout / Math.max(1, view.present().length);
+			if (random.fraction() < probability) {
+				order.prioritize(member.node);
 			}
 		}
 
 		if (member.state === 'leaving' && before?.state !== 'leaving') {
-			void spread();
+			void gossip();
 		}
 
-		const isReturn =
+		const isRejoin =
 			before?.incarnation === member.incarnation &&
 			!isPresent(before) &&
 			isPresent(member);
-		if (isReturn) {
-			catchUp.note(member);
+		if (isRejoin) {
+			catchUp.recordRejoin(member);
 		}
 	};
 
-	const {exchange, spread, spreadNow, join, lastJoin} = createProbeExchange({
-		view,
-		clock,
-		random,
-		timing,
-		send,
-		takeIn,
-	});
+	const {exchange, gossip, gossipNow, join, lastFullSyncAt} =
+		createProbeExchange({
+			view,
+			clock,
+			random,
+			timing,
+			send,
+			onAcknowledgement: applyMessage,
+		});
 
 	const probeNext = async () => {
 		const node = order.next(() => view.present().map((each) => each.node));
@@ -158,16 +159,17 @@
 		const {member} = entry;
 		const startedAt = clock.now();
 		const answer = await exchange(member.peerAddress, member.node);
-		const isSelf = answer?.members[0]?.node === member.node;
-		const wasHeard = entry.heardAt > startedAt;
-		const isLate = clock.now() - startedAt > lateness * timing.probeTimeout;
-		if (!isSelf && !wasHeard && !isLate) {
+		const isFromMember = answer?.members[0]?.node === member.node;
+		const wasSeen = entry.lastSeenAt > startedAt;
+		const isLate =
+			clock.now() - startedAt > lateProbeFactor * timing.probeTimeout;
+		if (!isFromMember && !wasSeen && !isLate) {
 			view.suspect(member.node);
 		}
 	};
 
 	/** Addresses of the settings that no member known here has. */
-	const listSeeds = () => {
+	const listUnknownSeeds = () => {
 		if (peers.length === 0) {
 			return [];
 		}
@@ -179,8 +181,8 @@
 			.map((peerAddress) => ({peerAddress, node: undefined}));
 	};
 
-	const reachLost = async () => {
-		const [lost] = sample([...view.gone(), ...listSeeds()], 1, random);
+	const probeGoneMember = async () => {
+		const [lost] = sample([...view.gone(), ...listUnknownSeeds()], 1, random);
 		if (lost) {
 			const whole = lost.node === undefined || view.present().length === 0;
 			await exchange(lost.peerAddress, lost.node, {whole});
@@ -192,38 +194,38 @@
 		random,
 		timing,
 		present: view.present,
-		lastJoin,
+		lastFullSyncAt,
 		join,
-		reachLost,
+		probeGoneMember,
 	});
 
-	const exchangeWhole = async () => {
+	const syncWithRandomMember = async () => {
 		const [member] = sample(view.present(), 1, random);
 		if (member) {
 			await join([member.peerAddress]);
 		}
 	};
 
-	const returnFromPause = async (pause: number) => {
+	const resumeAfterPause = async (pause: number) => {
 		pauses.push(pause);
 		isAnnouncing = true;
 		view.setSelf(reincarnate(view.self(), clock.date()), true);
-		await spreadNow();
+		await gossipNow();
 		isAnnouncing = false;
-		await exchangeWhole();
+		await syncWithRandomMember();
 	};
 
-	const repeat = async (
-		period: number,
+	const runPeriodically = async (
+		interval: number,
 		action: () => Promise<void> | void,
 		signal: AbortSignal,
 	) => {
-		await sleep(clock, period * random.fraction(), signal);
+		await sleep(clock, interval * random.fraction(), signal);
 		while (!signal.aborted) {
 			// eslint-disable-next-line no-await-in-loop -- one round after another.
 			await action();
 			// eslint-disable-next-line no-await-in-loop -- one round after another.
-			await sleep(clock, period * (0.9 + 0.2 * random.fraction()), signal);
+			await sleep(clock, interval * (0.9 + 0.2 * random.fraction()), signal);
 		}
 	};
 
@@ -233,43 +235,48 @@
 		entries: view.entries,
 		changes: view.changes,
 		pauses: pauses.stream,
-		isSuspended: () => isAnnouncing || lease.hasLapsed(),
+		isSuspended: () => isAnnouncing || lease.hasExpired(),
 		announce(change) {
 			const own = view.self();
 			const isUrgent = change.state !== undefined || 'target' in change;
 			view.setSelf(announceChange(own, change), isUrgent);
-			void spread();
+			void gossip();
 		},
 		receive(probe) {
-			takeIn(probe);
-			const [sender, ...news] = probe.members;
-			const limit = Math.max(newsLimits.acknowledgement, news.length);
-			const most = Math.min(newsLimits.probe, limit);
+			applyMessage(probe);
+			const [sender, ...gossipRecords] = probe.members;
+			const limit = Math.max(
+				gossipLimits.acknowledgement,
+				gossipRecords.length,
+			);
+			const maxRecords = Math.min(gossipLimits.probe, limit);
 			return {
 				type: 'acknowledgement',
 				sequence: probe.sequence,
-				members: probe.whole ? view.whole() : view.answerNews(sender, most),
+				members: probe.whole
+					? view.whole()
+					: view.replyGossip(sender, maxRecords),
 				configurationVersion: view.self().configurationVersion,
 			};
 		},
 		join,
-		spread,
+		gossip,
 		async run(signal) {
 			await Promise.all([
 				lease.run(signal, (pause) => {
-					void returnFromPause(pause);
+					void resumeAfterPause(pause);
 				}),
-				repeat(timing.probePeriod, probeNext, signal),
-				repeat(
-					timing.probePeriod / 2,
+				runPeriodically(timing.probeInterval, probeNext, signal),
+				runPeriodically(
+					timing.probeInterval / 2,
 					async () => {
 						view.expire();
-						await catchUp.act();
+						await catchUp.runDue();
 					},
 					signal,
 				),
-				repeat(timing.lostPeriod, reachLost, signal),
-				repeat(timing.wholePeriod, exchangeWhole, signal),
+				runPeriodically(timing.reconnectInterval, probeGoneMember, signal),
+				runPeriodically(timing.fullSyncInterval, syncWithRandomMember, signal),
 			]);
 		},
 	};
--- a/packages/control/src/membership.ts
+++ b/packages/control/src/membership.ts
@@ -19,7 +19,7 @@
 	/** When the record last changed here. */
 	changedAt: number;
 	/** When the member was last known to live: its own message, or a newer record. */
-	heardAt: number;
+	lastSeenAt: number;
 };
 
 /** The members by node, the node's own record included. */
@@ -27,7 +27,7 @@
 	self: string;
 	entries: Map<string, MemberEntry>;
 	/** The suspects and the gone, so that looking after them costs nothing while all is well. */
-	fading: Set<string>;
+	suspectOrGone: Set<string>;
 };
 
 /** A record that changed here; `before` is absent for a new member. */
@@ -47,7 +47,7 @@
 /** The rules by name; `latestHeard` is the naive way, for proofs only. */
 export const mergeRules = {
 	newerRecord: (known, incoming) => compareRecords(incoming, known) > 0,
-	latestHeard: () => true,
+	lastReceived: () => true,
 } as const satisfies Record<string, MergeRule>;
 
 /** Creates the state of a node that knows only itself. */
@@ -57,8 +57,10 @@
 ): MembershipState {
 	return {
 		self: member.node,
-		entries: new Map([[member.node, {member, changedAt: now, heardAt: now}]]),
-		fading: new Set(),
+		entries: new Map([
+			[member.node, {member, changedAt: now, lastSeenAt: now}],
+		]),
+		suspectOrGone: new Set(),
 	};
 }
 
@@ -83,9 +85,9 @@
 		state.entries.set(incoming.node, {
 			member: incoming,
 			changedAt: now,
-			heardAt: now,
+			lastSeenAt: now,
 		});
-		noteFading(state, incoming);
+		updateSuspectOrGone(state, incoming);
 		return {member: incoming};
 	}
 
@@ -94,25 +96,25 @@
 		return undefined;
 	}
 
-	const isLife =
+	const isLivenessProof =
 		incoming.incarnation > before.incarnation ||
 		incoming.heartbeat > before.heartbeat;
 	entry.member = incoming;
 	entry.changedAt = now;
-	entry.heardAt = isLife ? now : entry.heardAt;
-	noteFading(state, incoming);
+	entry.lastSeenAt = isLivenessProof ? now : entry.lastSeenAt;
+	updateSuspectOrGone(state, incoming);
 	return {member: incoming, before};
 }
 
 /** Notes that a member itself was heard. */
-export function hearMember(
+export function recordContact(
 	state: MembershipState,
 	node: string,
 	now: number,
 ): void {
 	const entry = state.entries.get(node);
 	if (entry) {
-		entry.heardAt = now;
+		entry.lastSeenAt = now;
 	}
 }
 
@@ -126,7 +128,7 @@
 	now: number,
 ): MemberChange | undefined {
 	const entry = state.entries.get(node);
-	const next = entry && nextOnSilence[entry.member.state];
+	const next = entry && nextStateOnFailure[entry.member.state];
 	return entry && next ? changeState(state, entry, next, now) : undefined;
 }
 
@@ -134,17 +136,17 @@
 export function expireMembers(
 	state: MembershipState,
 	now: number,
-	limits: {suspicion: number; remembrance: number},
+	limits: {suspicionTimeout: number; goneRetention: number},
 ): MemberChange[] {
 	const changes: MemberChange[] = [];
-	for (const node of state.fading) {
+	for (const node of state.suspectOrGone) {
 		const entry = state.entries.get(node)!;
 		const age = now - entry.changedAt;
-		if (entry.member.state === 'suspect' && age >= limits.suspicion) {
+		if (entry.member.state === 'suspect' && age >= limits.suspicionTimeout) {
 			changes.push(changeState(state, entry, 'gone', now));
-		} else if (entry.member.state === 'gone' && age >= limits.remembrance) {
+		} else if (entry.member.state === 'gone' && age >= limits.goneRetention) {
 			state.entries.delete(node);
-			state.fading.delete(node);
+			state.suspectOrGone.delete(node);
 		}
 	}
 
@@ -156,7 +158,7 @@
 	return member.state !== 'gone';
 }
 
-const nextOnSilence: Partial<Record<Member['state'], Member['state']>> = {
+const nextStateOnFailure: Partial<Record<Member['state'], Member['state']>> = {
 	joining: 'suspect',
 	active: 'suspect',
 	leaving: 'gone',
@@ -171,14 +173,17 @@
 	const before = entry.member;
 	entry.member = {...before, state: next};
 	entry.changedAt = now;
-	noteFading(state, entry.member);
+	updateSuspectOrGone(state, entry.member);
 	return {member: entry.member, before};
 }
 
-function noteFading({fading}: MembershipState, member: Member): void {
+function updateSuspectOrGone(
+	{suspectOrGone}: MembershipState,
+	member: Member,
+): void {
 	if (member.state === 'suspect' || member.state === 'gone') {
-		fading.add(member.node);
+		suspectOrGone.add(member.node);
 	} else {
-		fading.delete(member.node);
+		suspectOrGone.delete(member.node);
 	}
 }
--- a/packages/control/src/operator-service.ts
+++ b/packages/control/src/operator-service.ts
@@ -11,7 +11,7 @@
 import type {Clock, Finding, Random} from '@egretspoke/shared';
 import {err, ok, type Result} from 'neverthrow';
 import {
-	keepPlan,
+	storePlan,
 	readHead,
 	readPlan,
 	readPlanBody,
@@ -64,8 +64,8 @@
 	const secondsSince = (instant: number) =>
 		Math.max(0, Math.round(clock.now() - instant)) / 1000;
 
-	const heardSecondsAgo = (node: string, heardAt: number) =>
-		node === membership.self().node ? 0 : secondsSince(heardAt);
+	const heardSecondsAgo = (node: string, lastSeenAt: number) =>
+		node === membership.self().node ? 0 : secondsSince(lastSeenAt);
 
 	/**
 	 * The confirming node takes the body that it has read before the write, and
@@ -104,12 +104,12 @@
 				base: base.value,
 				targets: listKnownTargets(membership),
 			});
-			const kept = await keepPlan(platform, plan, body);
-			if (kept.isOk() || (await isKept(platform, plan))) {
+			const stored = await storePlan(platform, plan, body);
+			if (stored.isOk() || (await isStored(platform, plan))) {
 				return ok(plan);
 			}
 
-			return err({kind: 'unavailable', detail: kept.error.detail});
+			return err({kind: 'unavailable', detail: stored.error.detail});
 		},
 		async confirm(id) {
 			const body = await readPlanBody(platform, id);
@@ -131,17 +131,17 @@
 				uptimeSeconds: secondsSince(startedAt),
 				configuration: {version, checksum, source: configuration.source()},
 				platform: configuration.platformState(),
-				inForce: membership.entries().map(({member, heardAt}) => ({
+				inForce: membership.entries().map(({member, lastSeenAt}) => ({
 					node: member.node,
 					dataCentre: member.dataCentre,
 					version: member.configurationVersion,
 					state: member.state,
-					heardSecondsAgo: heardSecondsAgo(member.node, heardAt),
+					heardSecondsAgo: heardSecondsAgo(member.node, lastSeenAt),
 				})),
 			};
 		},
 		targets: () =>
-			membership.entries().flatMap(({member, heardAt}) =>
+			membership.entries().flatMap(({member, lastSeenAt}) =>
 				member.target
 					? [
 							{
@@ -151,7 +151,7 @@
 								state: member.state,
 								callerAddress: member.callerAddress,
 								configurationVersion: member.configurationVersion,
-								heardSecondsAgo: heardSecondsAgo(member.node, heardAt),
+								heardSecondsAgo: heardSecondsAgo(member.node, lastSeenAt),
 							},
 						]
 					: [],
@@ -177,13 +177,13 @@
 	return body.andThen((found) =>
 		found
 			? readConfiguration(found).mapErr((fault) =>
-					describeDamage(version, fault),
+					describeInvalidBody(version, fault),
 				)
-			: err(describeDamage(version, 'missing')),
+			: err(describeInvalidBody(version, 'missing')),
 	);
 }
 
-function describeDamage(version: number, fault: string): PlatformError {
+function describeInvalidBody(version: number, fault: string): PlatformError {
 	return {
 		kind: 'unavailable',
 		detail: `the body of version ${version} can't be used: ${fault}`,
@@ -194,10 +194,10 @@
  * A plan whose write lost its answer may have been kept; it has no effect
  * before a confirmation. One that another node made under the same id isn't it.
  */
-async function isKept(platform: Platform, plan: Plan): Promise<boolean> {
+async function isStored(platform: Platform, plan: Plan): Promise<boolean> {
 	const found = await readPlan(platform, plan.id);
-	const kept = found.isOk() ? found.value.value?.plan : undefined;
-	return kept !== undefined && isDeepStrictEqual(kept, plan);
+	const stored = found.isOk() ? found.value.value?.plan : undefined;
+	return stored !== undefined && isDeepStrictEqual(stored, plan);
 }
 
 function listKnownTargets(membership: MembershipService) {
--- a/packages/control/src/own-record.ts
+++ b/packages/control/src/own-record.ts
@@ -31,16 +31,16 @@
  * whose wall time was ahead; it is outbid, since the keys that it remembered
  * are lost.
  */
-export function refute(own: Member, rumour: Member): Member | undefined {
-	if (rumour.incarnation > own.incarnation) {
-		return {...own, incarnation: rumour.incarnation + 1, heartbeat: 0};
+export function refute(own: Member, claim: Member): Member | undefined {
+	if (claim.incarnation > own.incarnation) {
+		return {...own, incarnation: claim.incarnation + 1, heartbeat: 0};
 	}
 
-	const isNews =
-		rumour.incarnation === own.incarnation &&
-		(rumour.heartbeat > own.heartbeat ||
-			(rumour.heartbeat === own.heartbeat && rumour.state !== own.state));
-	return isNews
-		? {...own, heartbeat: Math.max(own.heartbeat, rumour.heartbeat) + 1}
+	const isNewerClaim =
+		claim.incarnation === own.incarnation &&
+		(claim.heartbeat > own.heartbeat ||
+			(claim.heartbeat === own.heartbeat && claim.state !== own.state));
+	return isNewerClaim
+		? {...own, heartbeat: Math.max(own.heartbeat, claim.heartbeat) + 1}
 		: undefined;
 }
--- a/packages/control/src/plan-warnings.ts
+++ b/packages/control/src/plan-warnings.ts
@@ -17,7 +17,7 @@
 export function listWarnings(input: WarningInput): string[] {
 	return [
 		...warnOfLastTargets(input),
-		...warnOfStrangers(input),
+		...warnOfUnknownNodes(input),
 		...warnOfLostProtection(input),
 		...warnOfUnknownCalls(input),
 		...warnOfCycles(input),
@@ -38,7 +38,7 @@
 	});
 }
 
-function warnOfStrangers({after, targets}: WarningInput): string[] {
+function warnOfUnknownNodes({after, targets}: WarningInput): string[] {
 	return after.flatMap((part) =>
 		part.targets.flatMap(({node}) => {
 			const known = targets.find((target) => target.node === node);
--- a/packages/control/src/plan.ts
+++ b/packages/control/src/plan.ts
@@ -52,19 +52,21 @@
 	const current = new Map(after.map((each) => [each.service, each]));
 	const names = new Set([...old.keys(), ...current.keys()]);
 	return [...names].sort().flatMap((service) => {
-		const was = flatten(old.get(service));
-		const is = flatten(current.get(service));
-		const paths = new Set([...was.keys(), ...is.keys()]);
+		const previous = flattenSettings(old.get(service));
+		const next = flattenSettings(current.get(service));
+		const paths = new Set([...previous.keys(), ...next.keys()]);
 		return [...paths]
-			.filter((path) => was.get(path) !== is.get(path))
+			.filter((path) => previous.get(path) !== next.get(path))
 			.map((path) =>
-				describeChange(service, path, was.get(path), is.get(path)),
+				describeChange(service, path, previous.get(path), next.get(path)),
 			);
 	});
 }
 
 /** The settings of a service by their paths. */
-function flatten(part: ServiceConfiguration | undefined): Map<string, string> {
+function flattenSettings(
+	part: ServiceConfiguration | undefined,
+): Map<string, string> {
 	const settings = new Map<string, string>();
 	if (!part) {
 		return settings;
--- a/packages/control/src/probe-exchange.ts
+++ b/packages/control/src/probe-exchange.ts
@@ -3,9 +3,9 @@
 import {sample, sleep, type Clock, type Random} from '@egretspoke/shared';
 import type {MemberView} from './member-view.js';
 import {
-	newsLimits,
-	spreadPause,
-	spreadWidth,
+	gossipLimits,
+	minRoundInterval,
+	gossipFanout,
 	type MembershipTiming,
 } from './membership-timing.js';
 
@@ -24,21 +24,21 @@
 	/** One probe; undefined when it failed or timed out. */
 	exchange(
 		address: string,
-		addressee?: string,
+		recipient?: string,
 		options?: ExchangeOptions,
 	): Promise<AcknowledgementMessage | undefined>;
 	/** Tells some members the news now. */
-	spreadNow(): Promise<void>;
+	gossipNow(): Promise<void>;
 	/** The same, at most once a pause; calls within a pause share one round. */
-	spread(): Promise<void>;
+	gossip(): Promise<void>;
 	/** Asks some of these addresses for all members; the number that answered. */
 	join(addresses: string[]): Promise<number>;
 	/** When all members were last asked for, by the clock. */
-	lastJoin(): number;
+	lastFullSyncAt(): number;
 };
 
 /** Addresses asked for all members by one `join`. */
-const joinWidth = 3;
+const joinFanout = 3;
 
 /** Creates the sending side of one node. */
 export function createProbeExchange(options: {
@@ -47,18 +47,21 @@
 	random: Random;
 	timing: MembershipTiming;
 	send: SendProbe;
-	takeIn: (message: AcknowledgementMessage, isWhole: boolean) => void;
+	onAcknowledgement: (
+		message: AcknowledgementMessage,
+		isWhole: boolean,
+	) => void;
 }): ProbeExchange {
-	const {view, clock, random, timing, send, takeIn} = options;
+	const {view, clock, random, timing, send, onAcknowledgement} = options;
 	let sequence = 0;
-	let spreadDue: Promise<void> | undefined;
-	let lastSpread = Number.NEGATIVE_INFINITY;
-	let lastJoin = Number.NEGATIVE_INFINITY;
+	let pendingRound: Promise<void> | undefined;
+	let lastRoundAt = Number.NEGATIVE_INFINITY;
+	let lastFullSyncAt = Number.NEGATIVE_INFINITY;
 
 	const exchange: ProbeExchange['exchange'] = async (
 		address,
-		addressee,
-		{whole = false, limit = newsLimits.probe} = {},
+		recipient,
+		{whole = false, limit = gossipLimits.probe} = {},
 	) => {
 		const abort = new AbortController();
 		const timer = clock.setTimer(timing.probeTimeout, () => {
@@ -67,7 +70,7 @@
 		const probe: ProbeMessage = {
 			type: 'probe',
 			sequence: sequence++,
-			members: view.news(addressee, limit),
+			members: view.gossipFor(recipient, limit),
 			configurationVersion: view.self().configurationVersion,
 			...(whole && {whole}),
 		};
@@ -77,41 +80,41 @@
 		]);
 		timer.cancel();
 		if (answer) {
-			takeIn(answer, whole);
+			onAcknowledgement(answer, whole);
 		}
 
 		return answer;
 	};
 
-	const spreadNow = async () => {
-		lastSpread = clock.now();
-		const chosen = sample(view.present(), spreadWidth, random);
+	const gossipNow = async () => {
+		lastRoundAt = clock.now();
+		const chosen = sample(view.present(), gossipFanout, random);
 		await Promise.all(
 			chosen.map(async ({peerAddress, node}) =>
-				exchange(peerAddress, node, {limit: newsLimits.spread}),
+				exchange(peerAddress, node, {limit: gossipLimits.round}),
 			),
 		);
 	};
 
-	const spreadAfterPause = async () => {
-		const wait = Math.max(0, lastSpread + spreadPause - clock.now());
+	const gossipAfterInterval = async () => {
+		const wait = Math.max(0, lastRoundAt + minRoundInterval - clock.now());
 		await sleep(clock, wait);
-		spreadDue = undefined;
-		await spreadNow();
+		pendingRound = undefined;
+		await gossipNow();
 	};
 
 	return {
 		exchange,
-		spreadNow,
-		async spread() {
-			spreadDue ??= spreadAfterPause();
-			return spreadDue;
+		gossipNow,
+		async gossip() {
+			pendingRound ??= gossipAfterInterval();
+			return pendingRound;
 		},
 		async join(addresses) {
 			const own = view.self().peerAddress;
 			const others = [...new Set(addresses)].filter((each) => each !== own);
-			const chosen = sample(others, joinWidth, random);
-			lastJoin = clock.now();
+			const chosen = sample(others, joinFanout, random);
+			lastFullSyncAt = clock.now();
 			const answers = await Promise.all(
 				chosen.map(async (address) =>
 					exchange(address, undefined, {whole: true}),
@@ -119,7 +122,7 @@
 			);
 			return answers.filter(Boolean).length;
 		},
-		lastJoin: () => lastJoin,
+		lastFullSyncAt: () => lastFullSyncAt,
 	};
 }
 
--- a/packages/control/src/probe-order.ts
+++ b/packages/control/src/probe-order.ts
@@ -10,18 +10,18 @@
 	/** Undefined when there is nobody. */
 	next(candidates: () => string[]): string | undefined;
 	/** Puts a node first. */
-	prefer(node: string): void;
+	prioritize(node: string): void;
 };
 
 /** Creates an order that shuffles by the given source. */
 export function createProbeOrder(random: Random): ProbeOrder {
 	let order: string[] = [];
-	const preferred = new Set<string>();
+	const prioritized = new Set<string>();
 	return {
 		next(candidates) {
-			const [first] = preferred;
+			const [first] = prioritized;
 			if (first !== undefined) {
-				preferred.delete(first);
+				prioritized.delete(first);
 				return first;
 			}
 
@@ -31,8 +31,8 @@
 
 			return order.pop();
 		},
-		prefer(node) {
-			preferred.add(node);
+		prioritize(node) {
+			prioritized.add(node);
 		},
 	};
 }
--- a/packages/control/src/seed-rows.ts
+++ b/packages/control/src/seed-rows.ts
@@ -29,16 +29,16 @@
 };
 
 /** Milliseconds within which nodes that start together spread their writes. */
-const firstSpread = 2000;
+const maxStartDelay = 2000;
 
 /** At 570 nodes, a refresh every 30 minutes is 0.3 writes a second. */
-const refreshPeriod = 1_800_000;
+const refreshInterval = 1_800_000;
 
 /** Rows of nodes that ended without removing them are cleared after this. */
-const staleAge = 4 * refreshPeriod;
+const staleAge = 4 * refreshInterval;
 
-const firstRetry = 5000;
-const lastRetry = 60_000;
+const initialRetryDelay = 5000;
+const maxRetryDelay = 60_000;
 
 /** Creates the seed rows of one node. */
 export function createSeedRows(options: {
@@ -79,13 +79,15 @@
 			return addresses;
 		},
 		async run(signal) {
-			await sleep(clock, firstSpread * random.fraction(), signal);
-			let retry = firstRetry;
+			await sleep(clock, maxStartDelay * random.fraction(), signal);
+			let retryDelay = initialRetryDelay;
 			while (!signal.aborted) {
 				// eslint-disable-next-line no-await-in-loop -- one write after another.
 				const isWritten = await write();
-				const wait = isWritten ? refreshPeriod : retry;
-				retry = isWritten ? firstRetry : Math.min(lastRetry, retry * 2);
+				const wait = isWritten ? refreshInterval : retryDelay;
+				retryDelay = isWritten
+					? initialRetryDelay
+					: Math.min(maxRetryDelay, retryDelay * 2);
 				// eslint-disable-next-line no-await-in-loop -- one write after another.
 				await sleep(clock, wait * (0.8 + 0.4 * random.fraction()), signal);
 			}
--- a/packages/control/src/suspect-rows.ts
+++ b/packages/control/src/suspect-rows.ts
@@ -25,19 +25,19 @@
 /** The rows. */
 export type SuspectRows = {
 	/** Keeps suspects beyond the life of this process. */
-	note(suspects: readonly Suspect[]): void;
+	persist(suspects: readonly Suspect[]): void;
 	/** Writes what was noted and reads what others noted, until the signal aborts. */
 	run(signal: AbortSignal): Promise<void>;
 };
 
 const suspectPrefix = 'suspects/';
 /** Milliseconds between two readings, by a fifth more or less. */
-const readPeriod = 5000;
+const readInterval = 5000;
 
 /** Creates the rows; nothing is read before `run`. */
 export function createSuspectRows(options: SuspectRowsOptions): SuspectRows {
 	const {platform, clock, random} = options;
-	const noted = createNotedSuspects(clock);
+	const storedSuspects = createNotedSuspects(clock);
 	const key = `${suspectPrefix}${options.node}`;
 
 	const writer = createRowWriter({
@@ -45,7 +45,7 @@
 		random,
 		async write() {
 			const rows = await platform.table.transact([
-				{kind: 'put', key, value: noted.toText()},
+				{kind: 'put', key, value: storedSuspects.toText()},
 			]);
 			return rows.isOk();
 		},
@@ -65,7 +65,7 @@
 			}
 
 			if (row.key === key && isFirst) {
-				noted.keepEarlier(suspects);
+				storedSuspects.keepEarlier(suspects);
 			}
 		}
 
@@ -73,8 +73,8 @@
 	};
 
 	return {
-		note(suspects) {
-			noted.note(suspects);
+		persist(suspects) {
+			storedSuspects.note(suspects);
 			writer.request();
 		},
 		async run(signal) {
@@ -87,7 +87,7 @@
 					writer.start(signal);
 				}
 
-				const wait = readPeriod * (0.8 + 0.4 * random.fraction());
+				const wait = readInterval * (0.8 + 0.4 * random.fraction());
 				// eslint-disable-next-line no-await-in-loop -- a pause between two readings.
 				await sleep(clock, wait, signal);
 			}
--- a/packages/faults/src/fake-node.ts
+++ b/packages/faults/src/fake-node.ts
@@ -78,7 +78,7 @@
 		supervisor,
 		reporter: silentReporter,
 		keepSuspects(suspects) {
-			suspectRows.note(suspects);
+			suspectRows.persist(suspects);
 		},
 		attemptHandler: options.handlers.attempt,
 		ledger: {
@@ -117,7 +117,7 @@
 		peers: options.peers.filter((address) => address !== name),
 		send: async (address, probe, signal) =>
 			core.peers.probe(address, probe, signal),
-		requestBody: async (address) =>
+		fetchConfiguration: async (address) =>
 			core.peers.requestConfiguration(address, supervisor.signal),
 	});
 	const suspectRows = createSuspectRows({
--- a/packages/faults/src/handlers.ts
+++ b/packages/faults/src/handlers.ts
@@ -43,14 +43,14 @@
 	egretspoke: {attempt: attemptAtMostOnce, acceptance},
 	naive: {
 		attempt: attemptNaively,
-		acceptance: acceptanceRules.latestHeard,
+		acceptance: acceptanceRules.lastReceived,
 	},
 	withoutLedger: {attempt: attemptWithoutLedger, acceptance},
 	retryUnknown: {attempt: attemptRetryingUnknown, acceptance},
 	timeoutIsNotRun: {attempt: attemptDenyingUnknown, acceptance},
 	latestVersion: {
 		attempt: attemptAtMostOnce,
-		acceptance: acceptanceRules.latestHeard,
+		acceptance: acceptanceRules.lastReceived,
 	},
 };
 
--- a/packages/node/src/start-node.ts
+++ b/packages/node/src/start-node.ts
@@ -109,7 +109,7 @@
 			bytesCapacity: limits.ledgerBytes,
 			maximumLifetime: limits.keyLifetime,
 		},
-		keepSuspects: suspectRows.note,
+		keepSuspects: suspectRows.persist,
 		control: createCoreControl(
 			() => control,
 			(service) => core.isServed(service),
@@ -277,11 +277,11 @@
 		random: random.fork(),
 		platform,
 		peers,
-		timing: {lease: timings.lease, probePeriod: timings.probe},
-		readPeriod: timings.configurationRead,
+		timing: {lease: timings.lease, probeInterval: timings.probe},
+		readInterval: timings.configurationRead,
 		send: async (address, probe, signal) =>
 			core.peers.probe(address, probe, signal),
-		requestBody: async (address) =>
+		fetchConfiguration: async (address) =>
 			core.peers.requestConfiguration(
 				address,
 				AbortSignal.timeout(settings.platform.timeout),
