--- a/packages/control/src/catch-up.ts
+++ b/packages/control/src/catch-up.ts
@@ -1,30 +1,29 @@
 /**
- * What a node does when members that were gone come back, as when the links
- * of a data centre are mended.
+ * Resynchronizes membership when many gone members rejoin, as after a partition
+ * between data centres heals.
  *
- * What goes wrong without it: every returning member refutes its end, and the
- * refutations spread a few a message; at 96 nodes the data centres were not
- * whole again within 20 s. One notices requests refused in one data centre
- * while another has free targets. Asking once for all members, after the
- * refutations were made, costs one large message and settles it.
+ * Otherwise every rejoining member refutes its own end, and the refutations
+ * spread a few per message: at 96 nodes, views had not converged after 20 s, and
+ * one data centre refused requests while another had free targets. One request
+ * for all members after the refutations costs one large message instead.
  *
- * It is for many returns only. A single member that was slow for a moment
- * would otherwise have every node ask for all members: at 570 nodes that took
- * 100 KB a second of the busiest one.
+ * A few rejoins do not trigger it. A single member that was slow for a moment
+ * would make every node request all members: at 570 nodes that took 100 KB a
+ * second of the busiest one.
  */
 import type {Member} from '@egretspoke/protocol';
 import {sample, type Clock, type Random} from '@egretspoke/shared';
 import {gossipLimits, type MembershipTiming} from './membership-timing.js';
 
-/** Notes returns and acts on them. */
+/** Tracks rejoins and resynchronizes after many of them. */
 export type CatchUp = {
-	/** A member came back. */
+	/** Records that a gone member has rejoined. */
 	recordRejoin(member: Member): void;
-	/** To be called often; does what is due. */
+	/** Syncs if it is due, else probes a gone member while rejoins are recent; to be called often. */
 	runDue(): Promise<void>;
 };
 
-/** Returns within a pause that don't fit into the news of one message. */
+/** More rejoins than fit into one message trigger a full sync. */
 const maxRejoinsWithoutSync = gossipLimits.probe;
 
 /** Creates the catch-up of one node. */
@@ -33,7 +32,7 @@
 	random: Random;
 	timing: MembershipTiming;
 	present: () => Member[];
-	/** When all members were last asked for. */
+	/** When all members were last requested, in milliseconds of the clock. */
 	lastFullSyncAt: () => number;
 	join: (addresses: string[]) => Promise<unknown>;
 	probeGoneMember: () => Promise<void>;
--- a/packages/control/src/classification.ts
+++ b/packages/control/src/classification.ts
@@ -1,7 +1,7 @@
 /**
- * Looks up what the accepted configuration says of a request. The rules are
- * compiled once a version, so that a request costs a few map look-ups, however
- * many rules there are.
+ * Classifies requests by the accepted configuration. The rules are compiled once
+ * per version, so that a request costs a few map lookups, regardless of the
+ * number of rules.
  */
 import type {RequestClass} from '@egretspoke/protocol';
 import type {
@@ -10,13 +10,13 @@
 	ServiceConfiguration,
 } from './configuration.js';
 
-/** What a request is, by the configuration in force. */
+/** The class and the limits of a request under the configuration in force. */
 export type Classification = {
 	requestClass: RequestClass;
 	idempotent: boolean;
-	/** Milliseconds for a first entry that states none. */
+	/** The deadline at the first entry node for a request without one, in milliseconds. */
 	deadline: number;
-	/** Attempts for the whole chain. */
+	/** Maximum number of attempts for the whole call chain. */
 	attempts: number;
 };
 
@@ -24,11 +24,11 @@
 export type Classifier = {
 	deadline: number;
 	attempts: number;
-	/** Rules by method, `*` for every method, then by path. */
+	/** Rules by method (`*` for every method), then by path. */
 	rules: Map<string, Map<string, RequestRule>>;
 };
 
-/** What holds where no intent says otherwise. */
+/** The defaults for services without an intent; the deadline is in milliseconds. */
 export const defaultIntent = {
 	requestClass: 'normal',
 	deadline: 4000,
@@ -37,13 +37,14 @@
 
 const anyMethod = '*';
 
-/** By RFC 9110, section 9.2.1, these are safe, so a repeat does no harm. */
+/** These methods are safe (RFC 9110, section 9.2.1), so a retry does no harm. */
 const idempotentMethods = new Set(['GET', 'HEAD']);
 
 /**
- * Classifies a request. The longest path that is the request's path or a
- * parent of it wins; at the same path, a rule for the method goes before one
- * for every method. Without a rule, only GET and HEAD count as idempotent.
+ * Classifies a request. The rule with the longest path that equals the request's
+ * path or is a parent of it applies; at the same path, a rule for the method takes
+ * precedence over one for every method. Without a rule, only GET and HEAD are
+ * idempotent.
  */
 export function classify(
 	configuration: Configuration,
--- a/packages/control/src/configuration-acceptance.ts
+++ b/packages/control/src/configuration-acceptance.ts
@@ -1,11 +1,11 @@
 /**
- * Whether a node takes a body that it was offered.
+ * Decides whether a node accepts an offered configuration body.
  *
- * What goes wrong without the rule: a data centre that was cut off comes back
- * and passes on the version it still has; whoever takes what it heard last goes
- * back to it. One notices a version number falling in `egretspoke status` and
- * an undone payment rule. A node that takes a version only if it is higher,
- * whole and fits its checksum can't go back, whoever tells it what.
+ * A node that accepted whatever it received last would revert to an older
+ * version when a data centre rejoins after a partition and gossips the version
+ * that it still has: the version number in `egretspoke status` would fall, and
+ * a payment rule would be undone. A node that accepts only a higher version with
+ * a valid checksum cannot go back, whatever it is offered.
  */
 import {err, ok, type Result} from 'neverthrow';
 import {
@@ -15,12 +15,12 @@
 	type ConfigurationBody,
 } from './configuration.js';
 
-/** Why an offered body was not taken. */
+/** Why an offered body was rejected. */
 export type Rejection = InvalidBodyReason | 'notHigher';
 
-/** Decides about versions that are heard of and bodies that are offered. */
+/** Decides which versions to fetch and which bodies to accept. */
 export type AcceptanceRule = {
-	/** Whether a body of that version is worth fetching. */
+	/** Whether to fetch the body of that version. */
 	isWanted(current: Configuration, version: number): boolean;
 	accept(
 		current: Configuration,
@@ -28,7 +28,7 @@
 	): Result<Configuration, Rejection>;
 };
 
-/** The rules by name; `latestHeard` is the naive way, for proofs only. */
+/** The rules by name; `lastReceived` is the naive rule, for tests only. */
 export const acceptanceRules = {
 	higherAndWhole: {
 		isWanted: (current, version) => version > current.version,
--- a/packages/control/src/configuration-store.ts
+++ b/packages/control/src/configuration-store.ts
@@ -1,16 +1,16 @@
 /**
- * What control keeps in the platform:
+ * The rows of control in the platform's table:
  *
- * | row | holds |
+ * | row | content |
  * | --- | --- |
- * | `configuration/head` | number and checksum of the accepted version, and who accepted it by which plan |
+ * | `configuration/head` | version and checksum of the accepted configuration, its plan and its author |
  * | `configuration/version/<number>` | a version's body |
- * | `plan/<id>` | a plan, its body, and the version it became once accepted |
+ * | `plan/<id>` | a plan, its body, and its version once accepted |
  *
- * The head row is small, since every node reads it every two seconds. A body
- * above the limit goes to the object store under its checksum, and the row
- * names it. Plans are kept here because no node has a disk and any node may
- * be asked to confirm one.
+ * The head row is small, because every node reads it every two seconds. A body
+ * above the limit is stored in the object store under its checksum, and the row
+ * names the object. Plans are stored here because nodes have no disk and any node
+ * may receive the confirmation.
  */
 import {planSchema, type Plan} from '@egretspoke/protocol';
 import type {Platform, PlatformError, Row} from '@egretspoke/storage';
@@ -18,9 +18,10 @@
 import {z} from 'zod';
 import type {ConfigurationBody} from './configuration.js';
 
+/** The key of the head row. */
 export const headKey = 'configuration/head';
 
-/** Characters above which a body goes to the object store. */
+/** Maximum length of a body in a row, in characters; longer ones go to the object store. */
 const inlineLimit = 8192;
 
 const storedBodySchema = z.object({
@@ -45,21 +46,27 @@
 	acceptedVersion: z.number().int().positive().optional(),
 });
 
+/** The content of the head row. */
 export type Head = z.infer<typeof headSchema>;
+/** A body as stored in a row, with its text or the name of its object. */
 export type StoredBody = z.infer<typeof storedBodySchema>;
+/** The content of a plan's row. */
 export type PlanRecord = z.infer<typeof planRecordSchema>;
 
-/** A record with the row version that a condition can name; 0 when absent. */
+/** A record with its row version, for use in a condition; the version is 0 when the row is absent. */
 export type Stored<T> = {rowVersion: number; value: T | undefined};
 
+/** Returns the key of a plan's row. */
 export function planKey(id: string): string {
 	return `plan/${id}`;
 }
 
+/** Returns the key of a version's row; padded, so that keys sort by version. */
 export function versionKey(version: number): string {
 	return `configuration/version/${String(version).padStart(12, '0')}`;
 }
 
+/** Reads the head row. */
 export function readHead(
 	platform: Platform,
 ): ResultAsync<Stored<Head>, PlatformError> {
@@ -68,6 +75,7 @@
 		.andThen((row) => readRecord(row, headSchema));
 }
 
+/** Reads a plan's row. */
 export function readPlan(
 	platform: Platform,
 	id: string,
@@ -77,7 +85,7 @@
 		.andThen((row) => readRecord(row, planRecordSchema));
 }
 
-/** The body of a version; undefined when the platform has none. */
+/** Reads the body of a version; resolves with undefined when the platform has none. */
 export function readVersion(
 	platform: Platform,
 	version: number,
@@ -90,7 +98,7 @@
 		);
 }
 
-/** The body that a plan would put in force; undefined when there is none. */
+/** Reads the body that a plan would put in force; resolves with undefined when there is none. */
 export function readPlanBody(
 	platform: Platform,
 	id: string,
@@ -100,7 +108,7 @@
 	);
 }
 
-/** Keeps a plan that is not accepted yet; its large body goes ahead of it. */
+/** Stores a plan that is not accepted yet; a large body is written first. */
 export function storePlan(
 	platform: Platform,
 	plan: Plan,
@@ -146,7 +154,7 @@
 		);
 }
 
-/** A row that can't be read is treated as an outage: nothing is concluded from it. */
+/** Parses a row; a malformed one is treated like an unreachable platform. */
 function readRecord<T>(
 	row: Row | undefined,
 	schema: z.ZodType<T>,
--- a/packages/control/src/configuration-watch.ts
+++ b/packages/control/src/configuration-watch.ts
@@ -1,8 +1,8 @@
 /**
- * Keeps the configuration in force at one node. It learns of a version in two
- * ways: a jittered read of the head row, and peers whose probes carry a higher
- * number and who are then asked for the body. In an outage of the platform the
- * last accepted version stays in force.
+ * Maintains the configuration in force at one node. The node detects a new
+ * version in two ways: it reads the head row periodically, and it fetches the body
+ * from a peer whose probe carries a higher version number. During an outage of the
+ * platform the last accepted version stays in force.
  */
 import type {NodeStatus} from '@egretspoke/protocol';
 import type {Platform} from '@egretspoke/storage';
@@ -32,69 +32,69 @@
 /** Whether the last read of the platform succeeded. */
 export type PlatformState = NodeStatus['platform'];
 
-/** A body that was offered and not taken, other than an old one. */
+/** An offered body that was rejected, except for an old version. */
 export type RejectedBody = {
 	version: number;
 	source: ConfigurationSource;
 	reason: Rejection;
 };
 
-/** The platform began to answer, or stopped; `detail` says how it failed. */
+/** The platform became reachable or unreachable; `detail` describes the failure. */
 export type PlatformChange = {state: PlatformState; detail?: string};
 
-/** The configuration in force and the ways by which it changes. */
+/** The configuration in force and the operations that change it. */
 export type ConfigurationWatch = {
-	/** Each configuration as it comes into force. */
+	/** Emits each configuration when it comes into force. */
 	accepted: Stream<Configuration>;
-	/** Damaged or malformed bodies, for the log and its counter. */
+	/** Emits damaged or malformed bodies, for the log and its counter. */
 	rejected: Stream<RejectedBody>;
-	/** Each change of `platformState`, the first read's result included. */
+	/** Emits each change of `platformState`, including the result of the first read. */
 	platformChanges: Stream<PlatformChange>;
 	current(): Configuration;
 	source(): ConfigurationSource;
 	platformState(): PlatformState;
-	/** What to answer to a peer's configuration request; undefined for the defaults. */
+	/** The body to send to a peer that requests it; undefined for the defaults. */
 	body(): ConfigurationBody | undefined;
-	/** Takes the body if the rule allows. */
+	/** Puts the body in force if the acceptance rule allows it. */
 	offer(
 		body: ConfigurationBody,
 		source: ConfigurationSource,
 	): Result<Configuration, Rejection>;
-	/** A peer said that it has this version; `fetch` asks that peer for the body. */
+	/** Handles the version number of a peer; `fetch` requests the body from that peer. */
 	receiveVersion(
 		version: number,
 		fetch: () => Promise<ConfigurationBody | undefined>,
 	): Promise<void>;
-	/** Reads the platform once. */
+	/** Reads the head row once, and the body if its version is higher. */
 	readPlatform(): Promise<void>;
-	/** Reads the platform again and again until the signal aborts. */
+	/** Reads the platform periodically until the signal aborts. */
 	run(signal: AbortSignal): Promise<void>;
 };
 
-/** What the watch needs; the period is in milliseconds. */
+/** Dependencies and settings of the watch; `interval` is in milliseconds between two reads. */
 export type ConfigurationWatchOptions = {
 	platform: Platform;
 	clock: Clock;
 	random: Random;
 	interval?: number;
-	/** Only tests take another than the default. */
+	/** Replaced in tests only. */
 	acceptance?: AcceptanceRule;
 };
 
 /**
- * Reads of the head row. At 570 nodes every 2 s are 285 reads a second of the
- * table's 2,000, and a change is in force within 2.4 s and two reads, below
- * the 4 s that are promised.
+ * Milliseconds between reads of the head row. With 570 nodes, 2 s makes 285 of
+ * the 2,000 reads per second that the table allows, and a change is in force
+ * within 2.4 s plus two reads, below the guaranteed 4 s.
  */
 const defaultInterval = 2000;
 
-/** Each wait is drawn from 0.8 to 1.2 periods, so that nodes don't read in step. */
+/** Each wait is drawn from 0.8 to 1.2 intervals, so that the nodes' reads are not synchronized. */
 const jitter = 0.2;
 
-/** Bodies asked of peers at once, unless a still higher version is told. */
+/** Maximum number of concurrent body requests to peers; a version above all of these is fetched regardless. */
 const maxConcurrentFetches = 2;
 
-/** Creates the watch with the built-in defaults in force. */
+/** Creates a watch with the built-in defaults in force. */
 export function createConfigurationWatch(
 	options: ConfigurationWatchOptions,
 ): ConfigurationWatch {
--- a/packages/control/src/configuration.ts
+++ b/packages/control/src/configuration.ts
@@ -1,8 +1,8 @@
 /**
- * The accepted configuration: every service's intent, whole, under one version
- * number. Its canonical text is what the checksum covers, what the platform
- * keeps and what peers pass on. The version stands within the text, so that a
- * body can't be taken for another version's.
+ * The accepted configuration: the intents of all services under one version
+ * number. The checksum covers its canonical text, which the platform stores and
+ * peers exchange. The version is part of the text, so that a body cannot be
+ * accepted under another version's number.
  */
 import {createHash} from 'node:crypto';
 import {requestClassSchema} from '@egretspoke/protocol';
@@ -36,14 +36,15 @@
 	services: z.array(serviceConfigurationSchema),
 });
 
+/** A rule that assigns a class and idempotency to requests. */
 export type RequestRule = z.infer<typeof requestRuleSchema>;
 
-/** One service's part, in canonical order. */
+/** The configuration of one service, in canonical order. */
 export type ServiceConfiguration = z.infer<typeof serviceConfigurationSchema>;
 
-/** A configuration that is ready for use. */
+/** A parsed configuration with compiled rules. */
 export type Configuration = {
-	/** 0 for the built-in defaults, which were never accepted by anybody. */
+	/** 0 for the built-in defaults, which were never accepted. */
 	version: number;
 	/** SHA-256 of the text, in hexadecimal. */
 	checksum: string;
@@ -52,17 +53,17 @@
 	classifiers: Map<string, Classifier>;
 };
 
-/** A configuration as it is kept and passed on. */
+/** A configuration as it is stored and sent. */
 export type ConfigurationBody = {
 	version: number;
 	checksum: string;
 	text: string;
 };
 
-/** Why a body was not taken. */
+/** Why a body is invalid. */
 export type InvalidBodyReason = 'checksum' | 'malformed' | 'version';
 
-/** The built-in defaults: every request normal, only GET and HEAD idempotent. */
+/** The built-in defaults: class `normal` for every request; only GET and HEAD are idempotent. */
 export const defaultConfiguration: Configuration = {
 	version: 0,
 	checksum: '',
@@ -71,7 +72,7 @@
 	classifiers: new Map(),
 };
 
-/** Writes the canonical text: the same services give the same bytes. */
+/** Serializes a configuration to its canonical text: equal services give equal bytes. */
 export function writeConfiguration(
 	version: number,
 	services: ServiceConfiguration[],
@@ -85,7 +86,7 @@
 	return {version, checksum: checksumOf(text), text};
 }
 
-/** Reads a body; refuses one that is damaged, malformed or of another version. */
+/** Parses a body; the error tells whether its checksum, its format or its version is wrong. */
 export function readConfiguration(
 	body: ConfigurationBody,
 ): Result<Configuration, InvalidBodyReason> {
@@ -104,7 +105,7 @@
 		: err('version');
 }
 
-/** The services after the intents have replaced, added or removed their parts. */
+/** Returns the services after the intents have replaced, added or removed some of them. */
 export function applyIntents(
 	services: ServiceConfiguration[],
 	intents: ServiceIntent[],
@@ -121,7 +122,7 @@
 	return [...merged.values()].toSorted(compareBy(({service}) => service));
 }
 
-/** What the configuration wants of a node's target; undefined when it says nothing. */
+/** The intent for a node's target; undefined when the configuration has none. */
 export function targetIntentOf(
 	configuration: Configuration,
 	node: string,
@@ -136,7 +137,7 @@
 	return undefined;
 }
 
-/** SHA-256 in hexadecimal. */
+/** Returns the SHA-256 of a text, in hexadecimal. */
 export function checksumOf(text: string): string {
 	return createHash('sha256').update(text).digest('hex');
 }
@@ -153,7 +154,7 @@
 	});
 }
 
-/** Puts keys and lists into one order; absent keys stay absent in the text. */
+/** Sorts keys and lists; absent keys stay absent in the text. */
 function canonicalize(part: ServiceConfiguration): ServiceConfiguration {
 	const {service, deadline, attempts, requests, calls, targets} = part;
 	return {
@@ -175,7 +176,7 @@
 	};
 }
 
-/** `POST /payments`, or the path alone for a rule of every method. */
+/** Returns `POST /payments`, or the path alone for a rule that matches every method. */
 export function describeMatch({method, path}: RequestRule): string {
 	return method === undefined ? path : `${method} ${path}`;
 }
--- a/packages/control/src/confirm.ts
+++ b/packages/control/src/confirm.ts
@@ -1,14 +1,12 @@
 /**
- * Confirms a plan: one transaction writes the head row on condition that it
- * still is the plan's base, the version's body, and the plan's record.
+ * Confirms a plan: one transaction writes the head row on condition that it is
+ * still the plan's base, together with the version's body and the plan's record.
  *
- * What goes wrong without the condition: two operators confirm plans made
- * from the same version, and the second silently undoes the first. One notices
- * a payment rule gone that somebody was told is in force. What goes wrong
- * without the plan's record: the answer to the write is lost, the operator is
- * told that it failed and confirms again or plans anew. The record is written
- * in the same transaction, so whoever reads it knows; and the same transaction
- * may be sent again, since its own conditions keep it from taking effect twice.
+ * Without the condition, two operators could confirm plans made from the same
+ * version, and the second would silently undo the first. Without the plan's
+ * record, a lost response would leave the operator without the outcome, and they
+ * would confirm or plan again. A reader of the record knows the outcome, and the
+ * same transaction may be retried: its conditions prevent a second effect.
  */
 import type {ConfirmAnswer} from '@egretspoke/protocol';
 import type {Platform, PlatformError, TableWrite} from '@egretspoke/storage';
@@ -25,31 +23,31 @@
 	type PlanRecord,
 } from './configuration-store.js';
 
-/** What a confirmation needs. */
+/** Dependencies of a confirmation. */
 export type ConfirmOptions = {
 	platform: Platform;
 	clock: Clock;
 	random: Random;
-	/** How the head is written; only tests take another than the default. */
+	/** How the head is written; replaced in tests only. */
 	headWrite?: HeadWrite;
 };
 
-/** The condition on the head row, by the way it is written. */
+/** The way in which the head row is written. */
 export type HeadWrite = keyof typeof headConditions;
 
-/** `overwrite` is the naive way, for the proof that the condition matters. */
+/** The conditions on the head row; `overwrite` is the naive way, for tests only. */
 export const headConditions = {
 	compareAndSet: (rowVersion: number) => ({ifVersion: rowVersion}),
 	overwrite: (_rowVersion: number) => ({}),
 } as const;
 
-/** How often an unknown write is looked at again before the operator is told so. */
+/** Attempts to determine the outcome of a write before it is reported as unknown. */
 const settleAttempts = 4;
 
-/** Milliseconds before the first look; doubles with each. */
+/** Backoff before the first of these attempts, in milliseconds; doubles with each. */
 const settleDelay = 200;
 
-/** Confirms a plan by its id; `notFound` when the platform has no such plan. */
+/** Confirms a plan by its id; resolves with `notFound` when the platform has no such plan. */
 export async function confirmPlan(
 	id: string,
 	options: ConfirmOptions,
@@ -65,7 +63,7 @@
 		: {result: 'unavailable', plan: id, detail};
 }
 
-/** An attempt's end: an answer, or a failure that may leave an effect. */
+/** The result of an attempt: an answer, or a failure after which a write may have taken effect. */
 type Attempt = Result<ConfirmAnswer | 'notFound', PlatformError>;
 
 async function attempt(id: string, options: ConfirmOptions): Promise<Attempt> {
@@ -143,7 +141,7 @@
 		: resolveConflict(id, record, now.value.value, platform);
 }
 
-/** The head is not the plan's base: either another plan won, or this one did earlier. */
+/** Handles a head that is not the plan's base: another plan was accepted, or this one was earlier. */
 async function resolveConflict(
 	id: string,
 	record: PlanRecord,
@@ -171,9 +169,9 @@
 }
 
 /**
- * The write's answer was lost. Sending the same again settles it: an earlier
- * effect shows in the plan's record, and a write that is still under way can
- * no longer take effect once this one has, or the other way round.
+ * Determines the outcome after the response to a write was lost, by retrying the
+ * same transaction: the plan's record shows an earlier effect, and of a write in
+ * flight and its retry, the conditions let only one take effect.
  */
 async function settle(
 	id: string,
@@ -183,9 +181,9 @@
 	const {clock, random} = options;
 	for (let round = 0; round < settleAttempts; round++) {
 		const delay = settleDelay * 2 ** round * (0.5 + random.fraction());
-		// eslint-disable-next-line no-await-in-loop -- each look comes after the one before.
+		// eslint-disable-next-line no-await-in-loop -- one attempt after another.
 		await sleep(clock, delay);
-		// eslint-disable-next-line no-await-in-loop -- each look comes after the one before.
+		// eslint-disable-next-line no-await-in-loop -- one attempt after another.
 		const result = await attempt(id, options);
 		if (result.isOk()) {
 			const answer = result.value;
--- a/packages/control/src/control.ts
+++ b/packages/control/src/control.ts
@@ -1,4 +1,4 @@
-/** Control of one node, wired together: configuration, membership, operators. */
+/** Control of one node: configuration, membership and the functions for operators. */
 import {isDeepStrictEqual} from 'node:util';
 import type {
 	AcknowledgementMessage,
@@ -31,58 +31,58 @@
 import type {SendProbe} from './probe-exchange.js';
 import {createSeedRows} from './seed-rows.js';
 
-/** What control needs of its node. */
+/** Dependencies and settings of control. */
 export type ControlOptions = {
-	/** The own record at the start: state `joining`, version 0, heartbeat 0. */
+	/** The initial own record: state `joining`, version 0, heartbeat 0. */
 	self: Member;
 	platform: Platform;
 	clock: Clock;
 	random: Random;
 	/** Sends a probe to a peer listener. */
 	send: SendProbe;
-	/** Sends `configurationRequest` to a peer listener; undefined when no body came. */
+	/** Sends `configurationRequest` to a peer listener; undefined when it returns no body. */
 	fetchConfiguration: (
 		address: string,
 	) => Promise<ConfigurationBody | undefined>;
-	/** Peer addresses from the settings; they help a start without the platform. */
+	/** Seed addresses from the settings, for a start without the platform. */
 	peers?: string[];
 	timing?: Partial<MembershipTiming>;
-	/** Milliseconds between reads of the head row. */
+	/** Interval between reads of the head row, in milliseconds. */
 	readInterval?: number;
-	/** Only tests take others than the defaults. */
+	/** Replaced in tests only. */
 	acceptance?: AcceptanceRule;
 	isNewer?: MergeRule;
 };
 
-/** Control as its node uses it. */
+/** Control as the rest of the node uses it. */
 export type Control = OperatorService & {
 	configuration: ConfigurationWatch;
 	membership: MembershipService;
-	/** Answers a probe that came in. */
+	/** Applies a received probe and returns its acknowledgement. */
 	receiveProbe(probe: ProbeMessage): AcknowledgementMessage;
-	/** The target beside the node announced itself, or ended; repeats tell nobody. */
+	/** Announces the local target, or its end; an unchanged announcement sends nothing. */
 	announceTarget(target: TargetAnnouncement | undefined): void;
-	/** The target takes no new work from now on; told to all at once. */
+	/** Announces at once that the target takes no new work. */
 	leave(): void;
 	/**
-	 * Learns members and configuration, then says `active`; resolves then. It
-	 * goes on working until the signal aborts, and never rejects.
+	 * Loads members and configuration, announces `active` and resolves. The
+	 * background tasks run until the signal aborts. Never rejects.
 	 */
 	start(signal: AbortSignal): Promise<void>;
-	/** Says `gone` and takes the seed row back; to be called at the end of a drain. */
+	/** Announces `gone` and removes the seed row; to be called at the end of a drain. */
 	end(): Promise<void>;
 };
 
-/** Milliseconds between two tries of a node that knows nobody. */
+/** Milliseconds between two attempts to find members while none is known. */
 const isolatedDiscoveryInterval = 2000;
 
-/** Milliseconds between two looks at the seed rows otherwise. */
+/** Milliseconds between two reads of the seed rows otherwise. */
 const discoveryInterval = 300_000;
 
-/** Milliseconds for which a start waits for a platform that doesn't answer. */
+/** Maximum time that a start waits for the platform and peers, in milliseconds. */
 const startTimeout = 3000;
 
-/** Creates control of one node; it sends nothing before `start`. */
+/** Creates the control of one node; sends nothing before `start`. */
 export function createControl(options: ControlOptions): Control {
 	const {
 		platform,
@@ -145,7 +145,7 @@
 		return membership.join([...rows, ...peers]);
 	};
 
-	/** What a start waits for, so that no older version than can be had is in force. */
+	/** A start waits for this, so that the node serves with the highest version available. */
 	const learn = async () => {
 		await Promise.all([
 			configuration.readPlatform(),
@@ -165,9 +165,9 @@
 	const discoverPeriodically = async (signal: AbortSignal) => {
 		while (!signal.aborted) {
 			const wait = isIsolated() ? isolatedDiscoveryInterval : discoveryInterval;
-			// eslint-disable-next-line no-await-in-loop -- one look after another.
+			// eslint-disable-next-line no-await-in-loop -- one read after another.
 			await sleep(clock, wait * (0.8 + 0.4 * random.fraction()), signal);
-			// eslint-disable-next-line no-await-in-loop -- one look after another.
+			// eslint-disable-next-line no-await-in-loop -- one read after another.
 			await discoverMembers();
 		}
 	};
--- a/packages/control/src/gossip-queue.ts
+++ b/packages/control/src/gossip-queue.ts
@@ -1,32 +1,32 @@
 /**
- * The news that a node passes on with its probes, the least told first. Each
- * message takes a bounded number, and each record is told a number of times
- * that grows with the logarithm of the members (SWIM, section 4.1), so that
- * the bytes of a message and of a change are both bounded.
+ * The queue of records that a node gossips with its probes, least-sent first.
+ * Each message carries a bounded number of records, and each record is sent a
+ * number of times that grows with the logarithm of the members (SWIM, section
+ * 4.1), so that the bytes of a message and of a change are both bounded.
  */
 
-/** Which members' records are still to be told. */
+/** The members whose records are still to be sent. */
 export type GossipQueue = {
-	/** Tells the node's record anew; urgent ones go before all others. */
+	/** Queues the node's record and resets its count; urgent ones go before all others. */
 	add(node: string, isUrgent: boolean): void;
-	/** The nodes to tell in the next message; counts them as told. */
+	/** Returns the nodes whose records go into the next message, and counts them as sent. */
 	take(maxRecords: number, members: number): string[];
 	size(): number;
 };
 
 /**
- * Times that a record is told for each doubling of the members. At 570 these
- * are 19 and 5. Five tellings by each who hears it leave out well under one
- * member in a hundred; those learn it when members exchange all they know.
- * That will do for a start or a new version, of which there may be hundreds at
- * once, and not for an end.
+ * How often a record is sent for each doubling of the number of members. At 570
+ * members these are 19 and 5 times. Five transmissions by each node that receives
+ * the record miss well under one member in a hundred; those get it with the next
+ * full sync. That is enough for a start or a new version, of which there may be
+ * hundreds at once, but not for the end of a member.
  */
 const transmissionsPerDoubling = {urgent: 2, ordinary: 0.5};
 
-/** The least number of tellings, for a handful of members. */
+/** Minimum number of transmissions; applies with few members. */
 const minTransmissions = 4;
 
-/** Nodes that are still to be told, in turn, and how often they were. */
+/** How often the record of each queued node was sent, in queue order. */
 type TransmissionCounts = Map<string, number>;
 
 /** Creates an empty queue. */
@@ -75,7 +75,7 @@
 	};
 }
 
-/** Ends go before everything that can wait. */
+/** The priority lanes, the urgent one first. */
 const lanes = ['urgent', 'ordinary'] as const;
 
 type Lane = (typeof lanes)[number];
@@ -87,7 +87,7 @@
 	};
 }
 
-/** Takes the first entries out; a map keeps the order of their insertion. */
+/** Removes and returns the first entries; a map keeps insertion order. */
 function takeFirst(
 	counts: TransmissionCounts,
 	maxCount: number,
--- a/packages/control/src/index.ts
+++ b/packages/control/src/index.ts
@@ -1,25 +1,25 @@
 /**
- * Control: what operators intend, which configuration is in force, and who is
- * there.
+ * Control: the operators' intents, the configuration in force, and membership.
  *
- * How a node wires it:
+ * How a node uses it:
  *
- * 1. `createControl({self, platform, clock, random, send, requestBody, peers})`
- *    with `self` as `{state: 'joining', heartbeat: 0, configurationVersion: 0,
- *    incarnation: clock.date().getTime(), …}`. `send` writes the probe to the
- *    peer's channel (opened when need be) and resolves with the acknowledgement
- *    of its sequence number, or undefined; `requestBody` the same for
- *    `configurationRequest` and its body.
- * 2. What comes in from any peer: `probe` → reply `control.receiveProbe(probe)`;
+ * 1. `createControl({self, platform, clock, random, send, fetchConfiguration,
+ *    peers})` with `self` as `{state: 'joining', heartbeat: 0,
+ *    configurationVersion: 0, incarnation: clock.date().getTime(), …}`. `send`
+ *    writes the probe to the peer's channel, which it opens if needed, and
+ *    resolves with the acknowledgement of the same sequence number, or undefined;
+ *    `fetchConfiguration` does the same for `configurationRequest` and its body.
+ * 2. Messages received from a peer: `probe` → reply `control.receiveProbe(probe)`;
  *    `configurationRequest` → reply `{type: 'configurationBody',
  *    ...control.configuration.body()}` when there is one.
- * 3. `await control.start(signal)`: the node is `active` afterwards, platform
- *    or not. `control.announceTarget(…)` when the target says what it is.
+ * 3. `await control.start(signal)`: the node is `active` afterwards, whether the
+ *    platform is reachable or not. `control.announceTarget(…)` when the target
+ *    announces itself.
  * 4. For each request: `control.membership.isSuspended()` → refuse with
  *    `NodeSuspended`; `classify(control.configuration.current(), service,
- *    method, path)` at the first entry.
- * 5. `control.membership.changes` feeds the router; `self().incarnation` is the
- *    one that homes carry, and it changes after a pause.
+ *    method, path)` at the first entry node.
+ * 5. `control.membership.changes` updates the router; `self().incarnation` is the
+ *    one that homes of idempotency keys carry, and it changes after a pause.
  * 6. Admin listener: `control.plan`, `confirm`, `status`, `targets`, `leave`.
  * 7. Stop: `control.leave()`, drain, `await control.end()`, abort the signal.
  */
--- a/packages/control/src/intent.ts
+++ b/packages/control/src/intent.ts
@@ -1,6 +1,6 @@
 /**
- * What operators write: one service's intent, or a list of them, in YAML or
- * JSON. The reference for operators is docs/CONFIGURATION.md.
+ * Parses intent documents: one service's intent, or a list of them, in YAML or
+ * JSON. docs/CONFIGURATION.md is the reference for operators.
  */
 import {requestClassSchema} from '@egretspoke/protocol';
 import {
@@ -12,7 +12,7 @@
 import type {Result} from 'neverthrow';
 import {z} from 'zod';
 
-/** The methods that a rule may name. */
+/** The methods that a rule may match. */
 const methods = [
 	'GET',
 	'HEAD',
@@ -52,13 +52,13 @@
 
 const serviceIntentSchema = z.strictObject({
 	service: nameSchema,
-	/** Milliseconds that a first entry gives a request which states none. */
+	/** The deadline at the first entry node for a request without one, in milliseconds. */
 	deadline: createDurationSchema({least: '10ms', most: '10m'}).optional(),
 	attempts: z.number().int().min(1).max(maxAttempts).optional(),
 	requests: z.array(requestIntentSchema).optional(),
 	calls: z.array(nameSchema).optional(),
 	targets: z.array(targetIntentSchema).optional(),
-	/** Takes the service out of the configuration. */
+	/** Removes the service from the configuration. */
 	removed: z.literal(true).optional(),
 });
 
@@ -67,10 +67,10 @@
 	z.array(serviceIntentSchema).min(1),
 ]);
 
-/** One service's intent as written; absent keys mean the built-in defaults. */
+/** One service's intent; absent keys mean the built-in defaults. */
 export type ServiceIntent = z.output<typeof serviceIntentSchema>;
 
-/** Reads an intent document; the error holds every finding with its place. */
+/** Parses an intent document; the error contains all findings with their positions. */
 export function readIntents(source: {
 	text: string;
 	file: string;
@@ -85,7 +85,7 @@
 type Path = Array<string | number>;
 type Entry = {path: Path; name: string};
 
-/** Finds what the schema can't see: entries that name the same thing twice. */
+/** Finds duplicate entries and services that call themselves, which the schema cannot detect. */
 function findDuplicates(value: unknown): DocumentIssue[] {
 	const services = Array.isArray(value) ? (value as unknown[]) : [value];
 	const isList = Array.isArray(value);
--- a/packages/control/src/lease.ts
+++ b/packages/control/src/lease.ts
@@ -1,27 +1,26 @@
 /**
- * Notices that the process itself was paused. The lease is the time for which
- * peers keep trusting a member that they don't hear.
+ * Detects that the process itself was paused. The lease is the time for which
+ * peers keep trusting a member without contact.
  *
- * What goes wrong without it: a node is frozen, its peers give it up, it wakes
- * and goes on taking work as if nothing had happened, with a view of members
- * and keys from before. One notices requests served by a node that status
- * calls gone. Here the pause shows at the first look at the clock after the
- * wake, before any timer has run, since the last pulse is too old.
+ * Without it, a frozen node that its peers have marked gone would resume and
+ * accept work with outdated members and keys, and requests would be served by a
+ * node that status lists as gone. The pause is detected at the first read of the
+ * clock after the resume, before any timer runs, because the last tick is too old.
  */
 import {sleep, type Clock} from '@egretspoke/shared';
 
-/** Tells pauses from ordinary running. */
+/** Detects process pauses longer than the lease. */
 export type Lease = {
-	/** True when the last pulse is older than the lease. */
+	/** True when the last tick is older than the lease. */
 	hasExpired(): boolean;
-	/** Pulses until the signal aborts; when a lapse is over, calls back with its length in milliseconds. */
+	/** Ticks until the signal aborts; after an expiry, calls back with the duration of the pause in milliseconds. */
 	run(signal: AbortSignal, onExpired: (pause: number) => void): Promise<void>;
 };
 
-/** Pulses within a lease, so that an ordinary late timer is no lapse. */
+/** Ticks per lease, so that an ordinary late timer does not expire it. */
 const ticksPerLease = 6;
 
-/** Creates a lease of so many milliseconds. */
+/** Creates a lease; the duration is in milliseconds. */
 export function createLease(clock: Clock, duration: number): Lease {
 	let lastTick = clock.now();
 	const hasExpired = () => clock.now() - lastTick > duration;
@@ -30,7 +29,7 @@
 		async run(signal, onExpired) {
 			lastTick = clock.now();
 			while (!signal.aborted) {
-				// eslint-disable-next-line no-await-in-loop -- one pulse after another.
+				// eslint-disable-next-line no-await-in-loop -- one tick after another.
 				await sleep(clock, duration / ticksPerLease, signal);
 				const pause = clock.now() - lastTick;
 				const isExpired = hasExpired() && !signal.aborted;
--- a/packages/control/src/member-view.ts
+++ b/packages/control/src/member-view.ts
@@ -1,6 +1,6 @@
 /**
- * One node's view of the members together with the news it has to pass on:
- * the part of membership that sends nothing and waits for nothing.
+ * One node's view of the members and the queue of records that it has to
+ * gossip. It does no I/O and sets no timers.
  */
 import type {Member} from '@egretspoke/protocol';
 import {createSubject, type Clock} from '@egretspoke/shared';
@@ -22,37 +22,37 @@
 import type {MembershipTiming} from './membership-timing.js';
 import {refute} from './own-record.js';
 
-/** The view and what changes it. */
+/** The view of the members and the operations that change it. */
 export type MemberView = {
 	changes: Stream<MemberChange>;
 	self(): Member;
 	entry(node: string): MemberEntry | undefined;
 	entries(): MemberEntry[];
-	/** Every member but this node that is not gone. */
+	/** All other members that are not gone. */
 	present(): Member[];
 	gone(): Member[];
-	/** Replaces the node's own record and tells it first. */
+	/** Replaces the node's own record and queues it for gossip; an urgent one goes first. */
 	setSelf(member: Member, isUrgent: boolean): void;
 	/**
-	 * Takes in records; the first one is the sender's own. Returns what changed.
-	 * What came with all members is not passed on: its sender's neighbours know
-	 * it, and a node that has just joined would have nothing but old news to tell.
+	 * Merges received records, the sender's own first, and returns the changes.
+	 * Records of a full list are not gossiped: the sender's peers have them, and a
+	 * node that has just joined would gossip only old records.
 	 */
 	applyRecords(records: Member[], isWhole?: boolean): MemberChange[];
 	suspect(node: string): MemberChange | undefined;
 	expire(): void;
-	/** The own record, the recipient's where it should defend itself, and so many news. */
+	/** The own record, up to `limit` queued ones, and the recipient's if it has to refute it. */
 	gossipFor(recipient: string | undefined, limit: number): Member[];
 	/**
-	 * The same for an answer to a sender, who also learns of a newer record of
-	 * itself, such as one of its earlier process whose wall time was ahead.
+	 * The same for an acknowledgement. The sender also receives a newer record of
+	 * itself, such as one of an earlier process whose wall clock was ahead.
 	 */
 	replyGossip(sender: Member | undefined, limit: number): Member[];
-	/** All members that are not gone, the own record first. */
+	/** The own record, then all other members that are not gone. */
 	whole(): Member[];
 };
 
-/** Creates the view of a node that knows only itself. */
+/** Creates a view that holds only the node itself. */
 export function createMemberView(options: {
 	self: Member;
 	clock: Clock;
@@ -163,14 +163,15 @@
 	};
 }
 
-/** A member under suspicion learns of it at the first contact (Dadgar et al., Lifeguard, 2018). */
+/** Such a member receives its record at the first contact, so that it can refute it (Dadgar et al., Lifeguard, 2018). */
 function isSuspectOrGone({state}: Member): boolean {
 	return state === 'suspect' || state === 'gone';
 }
 
 /**
- * First starts, `joining` to `active` and new versions can wait behind ends,
- * returns and new incarnations: a wrong trust costs more than a late one.
+ * Suspicions, ends, rejoins and new incarnations are gossiped before first
+ * starts, `joining` to `active` and new versions: requests to a member that is
+ * gone cost more than late use of a new one.
  */
 function isUrgentChange({member, before}: MemberChange): boolean {
 	if (before === undefined) {
--- a/packages/control/src/membership-service.ts
+++ b/packages/control/src/membership-service.ts
@@ -1,10 +1,9 @@
 /**
- * Probes members and passes on news, on the clock. The messages go through
- * `send`; what comes in goes through `receive`.
+ * Probes members and gossips their records periodically. Outgoing messages go
+ * through `send`, incoming ones through `receive`.
  *
- * Conventions of the messages: the first record of a probe and of an
- * acknowledgement is the sender's own, and the numbers of both carry the
- * sender's configuration version.
+ * In a probe and in an acknowledgement, the first record is the sender's own,
+ * and `configurationVersion` is the version in force at the sender.
  */
 import type {
 	AcknowledgementMessage,
@@ -38,55 +37,55 @@
 import {createProbeExchange, type SendProbe} from './probe-exchange.js';
 import {createProbeOrder} from './probe-order.js';
 
-/** What membership needs. */
+/** Dependencies and settings of membership. */
 export type MembershipOptions = {
-	/** The node's record as it starts, usually `joining`. */
+	/** The node's initial record, usually `joining`. */
 	self: Member;
 	clock: Clock;
 	random: Random;
 	send: SendProbe;
-	/** Told of the version at the peer with each message that came in. */
+	/** Called with the configuration version of the sender of each received message. */
 	onPeerVersion: (version: number, peerAddress: string) => void;
-	/** Addresses from the settings, tried as long as nobody known has them. */
+	/** Seed addresses from the settings; probed until a known member has the address. */
 	peers?: string[];
 	timing?: Partial<MembershipTiming>;
-	/** Only tests take another than the default. */
+	/** Replaced in tests only. */
 	isNewer?: MergeRule;
 };
 
 /** Membership as the rest of the node uses it. */
 export type MembershipService = {
-	/** Every change of a record, the node's own included. */
+	/** Every change of a record, including the node's own. */
 	changes: Stream<MemberChange>;
-	/** The length of each pause beyond the lease, in milliseconds, once it is over. */
+	/** The duration of each process pause longer than the lease, in milliseconds, emitted after it. */
 	pauses: Stream<number>;
 	/** The node's own record; its incarnation changes after a pause. */
 	self(): Member;
-	/** All known members, gone ones included, this node first. */
+	/** All known members, including gone ones; this node first. */
 	members(): Member[];
 	entries(): MemberEntry[];
-	/** True from a pause longer than the lease until the node has announced itself again. */
+	/** True after a pause longer than the lease, until the node has announced itself again. */
 	isSuspended(): boolean;
-	/** Changes the own record and tells it; changes of state are told at once. */
+	/** Changes the own record and gossips it; changes of state or target take priority. */
 	announce(change: OwnChange): void;
-	/** Answers a probe. */
+	/** Applies a probe and returns its acknowledgement. */
 	receive(probe: ProbeMessage): AcknowledgementMessage;
-	/** Asks some of these addresses for all members; the number that answered. */
+	/** Requests all members from some of these addresses; resolves with the number of responses. */
 	join(addresses: string[]): Promise<number>;
-	/** Tells some members the news now. */
+	/** Sends recent changes to some members without waiting for the next probe. */
 	gossip(): Promise<void>;
 	/** Probes until the signal aborts. */
 	run(signal: AbortSignal): Promise<void>;
 };
 
 /**
- * A probe that took so many timeouts says more of this node than of the other:
- * its own process was held up and the answer may lie unread (Dadgar et al.,
- * Lifeguard, 2018). Suspecting then would have starved nodes give each other up.
+ * A probe that took more than this many timeouts indicates that this process
+ * was stalled and the response may still be unread (Dadgar et al., Lifeguard,
+ * 2018). If it counted as failed, overloaded nodes would suspect each other.
  */
 const lateProbeFactor = 1.5;
 
-/** Creates membership; nothing is sent before `run`, `join` or `announce`. */
+/** Creates membership; it sends nothing before `run`, `join` or `announce`. */
 export function createMembership(
 	options: MembershipOptions,
 ): MembershipService {
@@ -118,6 +117,10 @@
 		}
 	};
 
+	/**
+	 * Gives a new suspect an early probe from this node with a probability that
+	 * makes about `gossipFanout` nodes probe it, and reacts to leaves and rejoins.
+	 */
 	const handleChange = ({member, before}: MemberChange) => {
 		if (member.state === 'suspect') {
 			const probability = gossipFanout / Math.max(1, view.present().length);
@@ -168,7 +171,7 @@
 		}
 	};
 
-	/** Addresses of the settings that no member known here has. */
+	/** Seed addresses from the settings that belong to no known member. */
 	const listUnknownSeeds = () => {
 		if (peers.length === 0) {
 			return [];
@@ -181,6 +184,7 @@
 			.map((peerAddress) => ({peerAddress, node: undefined}));
 	};
 
+	/** Probes a random gone member or seed address, to reconnect after a partition. */
 	const probeGoneMember = async () => {
 		const [lost] = sample([...view.gone(), ...listUnknownSeeds()], 1, random);
 		if (lost) {
--- a/packages/control/src/membership-timing.ts
+++ b/packages/control/src/membership-timing.ts
@@ -1,27 +1,27 @@
-/** The periods of membership, in milliseconds; docs/decisions/membership.md has the sums. */
+/** The intervals and timeouts of membership, in milliseconds; docs/decisions/membership.md derives them. */
 export type MembershipTiming = {
-	/** Between two probes by a node. */
+	/** Interval between the probes that a node sends. */
 	probeInterval: number;
-	/** Until a probe without an answer counts as failed. */
+	/** Timeout of a probe. */
 	probeTimeout: number;
-	/** Until a suspect that nobody refuted is gone. */
+	/** Time after which a suspect that has not refuted the suspicion is gone. */
 	suspicionTimeout: number;
-	/** Without a pulse of its own, a node treats itself as absent. */
+	/** A node whose own timer has not run for this long suspends itself. */
 	lease: number;
-	/** Between two tries to reach a member that is gone, or a seed. */
+	/** Interval between probes of a member that is gone, or of a seed address. */
 	reconnectInterval: number;
-	/** Between two exchanges of all members with some member. */
+	/** Interval between requests for all members to a random member. */
 	fullSyncInterval: number;
-	/** From the return of a member until all members are asked for; refutations take this long. */
+	/** Delay between a rejoin and the request for all members; refutations take this long. */
 	rejoinSyncDelay: number;
-	/** The least time between two such exchanges. */
+	/** Minimum interval between two such requests. */
 	minRejoinSyncInterval: number;
 	/**
-	 * The same for each member, where that is more: an answer grows with the
-	 * members, so that its bytes a second stay below 290 in 50 ms.
+	 * The same per member; the larger of the two applies. The response grows with
+	 * the number of members, and this bounds it to 290 bytes in 50 ms.
 	 */
 	minRejoinSyncIntervalPerMember: number;
-	/** How long the end of a member is remembered. */
+	/** How long the record of a gone member is retained. */
 	goneRetention: number;
 };
 
@@ -39,19 +39,19 @@
 };
 
 /**
- * Records that ride on a message besides the sender's own. A record is about
- * 290 bytes, so these bounds and the periods above bound the bytes a second.
+ * Maximum number of records in a message besides the sender's own. A record is
+ * about 290 bytes, so these limits and the intervals above bound the bandwidth.
  */
 export const gossipLimits = {
 	probe: 8,
-	/** A message of a round that can't wait; there may be many of them. */
+	/** A message of an immediate gossip round; there may be many of them. */
 	round: 3,
-	/** An acknowledgement brings at least these, or as many as its probe brought. */
+	/** An acknowledgement may carry this many, or as many as its probe if that is more. */
 	acknowledgement: 2,
 } as const;
 
-/** Members told at once of what can't wait for the next probe. */
+/** Number of members that an immediate gossip round is sent to. */
 export const gossipFanout = 3;
 
-/** Milliseconds between two such rounds of a node. */
+/** Minimum interval between two such rounds of a node, in milliseconds. */
 export const minRoundInterval = 500;
--- a/packages/control/src/membership.ts
+++ b/packages/control/src/membership.ts
@@ -1,39 +1,39 @@
 /**
- * Who is there, as one node sees it: a state machine over what it hears.
- * After SWIM (Das, Gupta and Motivala, DSN 2002): suspicion before a member is
- * given up, and a member refutes it by a newer record of itself. Unlike there,
- * a refutation raises the heartbeat and not the incarnation, since an
- * incarnation stands for what a node remembers (the ledger of its keys).
+ * The members as one node sees them: a state machine over the records that it
+ * receives. It follows SWIM (Das, Gupta and Motivala, DSN 2002): a member is
+ * suspected before it is gone, and refutes the suspicion with a newer record of
+ * itself. Unlike in SWIM, a refutation raises the heartbeat and not the
+ * incarnation, because an incarnation stands for the state that a node holds in
+ * memory (its ledger of idempotency keys).
  *
  * Records of one node are ordered by incarnation, then heartbeat, then state.
- * What goes wrong without the order: a peer that was cut off passes on an old
- * record, and a member that has left gets work again. One notices requests
- * going to a target that was told to leave. Only a record that the member
- * itself made later can replace an end.
+ * Without this order, a peer that was partitioned would gossip an old record, and
+ * a member that is leaving would receive requests again. Only a newer record
+ * made by the member itself can replace `gone`.
  */
 import type {Member} from '@egretspoke/protocol';
 
-/** A member with what this node knows of its age, in milliseconds of the clock. */
+/** A member and the age of its record, in milliseconds of the clock. */
 export type MemberEntry = {
 	member: Member;
-	/** When the record last changed here. */
+	/** When the record last changed at this node. */
 	changedAt: number;
-	/** When the member was last known to live: its own message, or a newer record. */
+	/** When the member last proved to be alive, by a message of its own or a newer record. */
 	lastSeenAt: number;
 };
 
-/** The members by node, the node's own record included. */
+/** The members by node name, including the node's own record. */
 export type MembershipState = {
 	self: string;
 	entries: Map<string, MemberEntry>;
-	/** The suspects and the gone, so that looking after them costs nothing while all is well. */
+	/** Names of suspects and gone members, so that expiry does not scan the healthy ones. */
 	suspectOrGone: Set<string>;
 };
 
-/** A record that changed here; `before` is absent for a new member. */
+/** A record that changed at this node; `before` is absent for a new member. */
 export type MemberChange = {member: Member; before?: Member};
 
-/** How a record that came in is weighed against the one that is known. */
+/** Whether a received record replaces the known one. */
 export type MergeRule = (known: Member, incoming: Member) => boolean;
 
 const ranks: Record<Member['state'], number> = {
@@ -44,13 +44,13 @@
 	gone: 4,
 };
 
-/** The rules by name; `latestHeard` is the naive way, for proofs only. */
+/** The rules by name; `lastReceived` is the naive rule, for tests only. */
 export const mergeRules = {
 	newerRecord: (known, incoming) => compareRecords(incoming, known) > 0,
 	lastReceived: () => true,
 } as const satisfies Record<string, MergeRule>;
 
-/** Creates the state of a node that knows only itself. */
+/** Creates a state that holds only the node itself. */
 export function createMembershipState(
 	member: Member,
 	now: number,
@@ -64,7 +64,7 @@
 	};
 }
 
-/** Above 0 when the left record is newer than the right one. */
+/** Returns a number above 0 when the left record is newer than the right one. */
 export function compareRecords(left: Member, right: Member): number {
 	return (
 		left.incarnation - right.incarnation ||
@@ -73,7 +73,7 @@
 	);
 }
 
-/** Takes in a record of another node; the change, if it told something new. */
+/** Merges a record of another node; returns the change, if there is one. */
 export function mergeMember(
 	state: MembershipState,
 	incoming: Member,
@@ -106,7 +106,7 @@
 	return {member: incoming, before};
 }
 
-/** Notes that a member itself was heard. */
+/** Records that the member itself has sent a message. */
 export function recordContact(
 	state: MembershipState,
 	node: string,
@@ -119,8 +119,9 @@
 }
 
 /**
- * A probe of the member failed. One that is leaving already is gone at once:
- * it takes no new work either way, and nothing may bring it back to less.
+ * Handles a failed probe of the member. A member that is leaving is gone at
+ * once: it takes no new work in either state, and suspicion must not hide
+ * that it is leaving.
  */
 export function suspectMember(
 	state: MembershipState,
@@ -132,7 +133,7 @@
 	return entry && next ? changeState(state, entry, next, now) : undefined;
 }
 
-/** Suspects that nobody refuted in time are gone; old ends are forgotten. */
+/** Marks expired suspects as gone and deletes gone members after the retention time. */
 export function expireMembers(
 	state: MembershipState,
 	now: number,
@@ -153,7 +154,7 @@
 	return changes;
 }
 
-/** A member that may be probed and told news. */
+/** Whether the member may be probed and receive gossip. */
 export function isPresent(member: Member): boolean {
 	return member.state !== 'gone';
 }
--- a/packages/control/src/operator-service.ts
+++ b/packages/control/src/operator-service.ts
@@ -1,4 +1,4 @@
-/** What the admin listener offers to operators: plan, confirm and status. */
+/** The functions for operators: plan, confirm, status and targets. */
 import {isDeepStrictEqual} from 'node:util';
 import type {
 	ConfirmAnswer,
@@ -30,22 +30,22 @@
 import {isPresent} from './membership.js';
 import {preparePlan} from './plan.js';
 
-/** Why there is no plan. */
+/** Why no plan was made. */
 export type PlanFailure =
 	| {kind: 'findings'; findings: Finding[]}
-	/** The platform can't be reached; nothing was planned. */
+	/** The platform is unreachable; no plan was made. */
 	| {kind: 'unavailable'; detail: string};
 
-/** The operators' functions; the admin listener mounts them over HTTP. */
+/** The functions for operators; the admin listener serves them over HTTP. */
 export type OperatorService = {
 	plan(request: PlanRequest): Promise<Result<Plan, PlanFailure>>;
 	confirm(id: string): Promise<ConfirmAnswer | 'notFound'>;
-	/** All but the load, which the node adds. */
+	/** The status without the load, which the node adds. */
 	status(): NodeStatus;
 	targets(): TargetRow[];
 };
 
-/** What the operators' functions need. */
+/** Dependencies of the functions for operators. */
 export type OperatorOptions = {
 	platform: Platform;
 	clock: Clock;
@@ -55,7 +55,7 @@
 	headWrite?: HeadWrite;
 };
 
-/** Creates the functions of one node. */
+/** Creates the functions for operators of one node. */
 export function createOperatorService(
 	options: OperatorOptions,
 ): OperatorService {
@@ -68,9 +68,9 @@
 		node === membership.self().node ? 0 : secondsSince(lastSeenAt);
 
 	/**
-	 * The confirming node takes the body that it has read before the write, and
-	 * its peers take it from there: a platform that goes away right after the
-	 * acceptance would otherwise hold back what has been accepted.
+	 * Puts the body in force that was read before the write, so that peers can fetch
+	 * it from this node. Otherwise an outage of the platform right after the
+	 * acceptance would delay the accepted version.
 	 */
 	const putInForce = async (
 		version: number,
@@ -159,7 +159,7 @@
 	};
 }
 
-/** The accepted configuration as the platform has it now, which may be newer than the node's. */
+/** Reads the accepted configuration from the platform; it may be newer than the node's. */
 async function readBase(
 	platform: Platform,
 ): Promise<Result<Configuration, PlatformError>> {
@@ -191,8 +191,9 @@
 }
 
 /**
- * A plan whose write lost its answer may have been kept; it has no effect
- * before a confirmation. One that another node made under the same id isn't it.
+ * Whether the plan was stored although the response to its write was lost; it has
+ * no effect before its confirmation. Another node's plan with the same id does not
+ * count.
  */
 async function isStored(platform: Platform, plan: Plan): Promise<boolean> {
 	const found = await readPlan(platform, plan.id);
@@ -209,7 +210,7 @@
 		);
 }
 
-/** Sorts by time; the random part tells plans of one instant apart. */
+/** Creates an id that sorts by time; the random part distinguishes plans of the same second. */
 function createPlanId(createdAt: Date, random: Random): string {
 	const stamp = createdAt.toISOString().replaceAll(/[-:]|\.\d+/gu, '');
 	const suffix = random
--- a/packages/control/src/plan-warnings.ts
+++ b/packages/control/src/plan-warnings.ts
@@ -1,4 +1,4 @@
-/** What a plan allows but its author should look at twice. */
+/** Warnings about changes that are allowed but may be mistakes. */
 import {rankOf} from '@egretspoke/protocol';
 import {defaultIntent} from './classification.js';
 import {describeMatch, type ServiceConfiguration} from './configuration.js';
@@ -6,14 +6,14 @@
 /** A target that has announced itself. */
 export type KnownTarget = {node: string; service: string};
 
-/** Both sides of a plan and the targets announced so far. */
+/** The services before and after a plan, and the announced targets. */
 export type WarningInput = {
 	before: ServiceConfiguration[];
 	after: ServiceConfiguration[];
 	targets: KnownTarget[];
 };
 
-/** Lists the warnings, one sentence each. */
+/** Lists the warnings of a plan, one sentence each. */
 export function listWarnings(input: WarningInput): string[] {
 	return [
 		...warnOfLastTargets(input),
@@ -87,7 +87,7 @@
 	);
 }
 
-/** A cycle lets one request come back to a service that already works on it. */
+/** In a cycle, a request can return to a service that is still processing it. */
 function warnOfCycles({after}: WarningInput): string[] {
 	const calls = new Map(after.map((part) => [part.service, part.calls]));
 	return after
--- a/packages/control/src/plan.ts
+++ b/packages/control/src/plan.ts
@@ -1,4 +1,4 @@
-/** From an intent document to a plan: what would change, and what that means. */
+/** Prepares a plan from intents: the changes, their effects and the warnings. */
 import type {Plan, PlanChange} from '@egretspoke/protocol';
 import {formatDuration} from '@egretspoke/shared';
 import {defaultIntent} from './classification.js';
@@ -13,22 +13,22 @@
 import type {ServiceIntent} from './intent.js';
 import {listWarnings, type KnownTarget} from './plan-warnings.js';
 
-/** What a plan is made from. */
+/** The input of a plan. */
 export type PlanInput = {
 	id: string;
 	author: string;
 	createdAt: Date;
 	intents: ServiceIntent[];
-	/** The accepted configuration that the plan builds on. */
+	/** The accepted configuration that the plan changes. */
 	base: Configuration;
-	/** The targets announced so far, for the warnings. */
+	/** The announced targets, for the warnings. */
 	targets: KnownTarget[];
 };
 
-/** A plan with the body that its confirmation would put in force. */
+/** A plan and the body that its confirmation puts in force. */
 export type PreparedPlan = {plan: Plan; body: ConfigurationBody};
 
-/** Works out the plan; it has no effect until it is confirmed. */
+/** Prepares a plan; it has no effect until it is confirmed. */
 export function preparePlan(input: PlanInput): PreparedPlan {
 	const {id, author, createdAt, intents, base, targets} = input;
 	const services = applyIntents(base.services, intents);
@@ -43,7 +43,7 @@
 	return {plan, body: writeConfiguration(base.version + 1, services)};
 }
 
-/** Lists every difference between two configurations, service by service. */
+/** Lists all differences between two configurations, by service. */
 export function listChanges(
 	before: ServiceConfiguration[],
 	after: ServiceConfiguration[],
@@ -63,7 +63,7 @@
 	});
 }
 
-/** The settings of a service by their paths. */
+/** Returns the settings of a service by path. */
 function flattenSettings(
 	part: ServiceConfiguration | undefined,
 ): Map<string, string> {
@@ -124,7 +124,7 @@
 	service: string,
 ) => string;
 
-/** The effect of a change in words, by the setting that changes. */
+/** Functions that describe the effect of a change, by the kind of setting. */
 const effects: Record<SettingKind, Describe> = {
 	service: (after, _name, service) =>
 		after === undefined
--- a/packages/control/src/probe-exchange.ts
+++ b/packages/control/src/probe-exchange.ts
@@ -1,4 +1,4 @@
-/** Sends one probe and takes in its acknowledgement; the rounds made of several. */
+/** Sends probes and applies their acknowledgements; gossip rounds and full syncs are made of several. */
 import type {AcknowledgementMessage, ProbeMessage} from '@egretspoke/protocol';
 import {sample, sleep, type Clock, type Random} from '@egretspoke/shared';
 import type {MemberView} from './member-view.js';
@@ -16,28 +16,28 @@
 	signal: AbortSignal,
 ) => Promise<AcknowledgementMessage | undefined>;
 
-/** What a probe asks for and how many news it brings. */
+/** `whole` requests all members; `limit` is the maximum number of gossiped records. */
 export type ExchangeOptions = {whole?: boolean; limit?: number};
 
 /** The sending side of membership. */
 export type ProbeExchange = {
-	/** One probe; undefined when it failed or timed out. */
+	/** Sends one probe; resolves with undefined when it failed or timed out. */
 	exchange(
 		address: string,
 		recipient?: string,
 		options?: ExchangeOptions,
 	): Promise<AcknowledgementMessage | undefined>;
-	/** Tells some members the news now. */
+	/** Sends recent changes to some members now. */
 	gossipNow(): Promise<void>;
-	/** The same, at most once a pause; calls within a pause share one round. */
+	/** The same, rate-limited; calls within `minRoundInterval` share one round. */
 	gossip(): Promise<void>;
-	/** Asks some of these addresses for all members; the number that answered. */
+	/** Requests all members from some of these addresses; resolves with the number of responses. */
 	join(addresses: string[]): Promise<number>;
-	/** When all members were last asked for, by the clock. */
+	/** When all members were last requested, in milliseconds of the clock. */
 	lastFullSyncAt(): number;
 };
 
-/** Addresses asked for all members by one `join`. */
+/** Maximum number of addresses that one `join` sends requests to. */
 const joinFanout = 3;
 
 /** Creates the sending side of one node. */
--- a/packages/control/src/probe-order.ts
+++ b/packages/control/src/probe-order.ts
@@ -1,19 +1,19 @@
 /**
- * Whom to probe next: every member once in a shuffled order, then anew, which
- * bounds the time until a dead member is probed (SWIM, section 4.3). Members
- * under suspicion elsewhere go first, which is the indirect check.
+ * Selects the next member to probe: every member once in a shuffled order, then
+ * again, which bounds the time until a failed member is probed (SWIM, section
+ * 4.3). Members that are suspected elsewhere go first, as the indirect check.
  */
 import {shuffle, type Random} from '@egretspoke/shared';
 
-/** Gives the next node to probe. */
+/** The order in which members are probed. */
 export type ProbeOrder = {
-	/** Undefined when there is nobody. */
+	/** Returns the next node to probe; undefined when there are no candidates. */
 	next(candidates: () => string[]): string | undefined;
-	/** Puts a node first. */
+	/** Moves a node to the front. */
 	prioritize(node: string): void;
 };
 
-/** Creates an order that shuffles by the given source. */
+/** Creates a probe order that shuffles with the given random source. */
 export function createProbeOrder(random: Random): ProbeOrder {
 	let order: string[] = [];
 	const prioritized = new Set<string>();
--- a/packages/control/src/seed-rows.ts
+++ b/packages/control/src/seed-rows.ts
@@ -1,7 +1,7 @@
 /**
- * The rows by which a node that starts finds the first others. A row is
- * written on joining, refreshed rarely and removed on leaving; who is there
- * now is for membership to find out, so an old row does no harm.
+ * Rows in the platform's table by which a starting node finds others. A node
+ * writes its row when it joins, refreshes it rarely and removes it when it leaves.
+ * Membership determines which nodes are alive, so an outdated row does no harm.
  */
 import type {Member} from '@egretspoke/protocol';
 import type {Platform} from '@egretspoke/storage';
@@ -14,33 +14,34 @@
 	node: z.string(),
 	peerAddress: z.string(),
 	dataCentre: z.string(),
-	/** Milliseconds since 1970, by the writer's wall clock. */
+	/** The time of the last write, in milliseconds since 1970 by the writer's wall clock. */
 	refreshedAt: z.number(),
 });
 
-/** The rows of this node and the others'. */
+/** Access to the seed rows of all nodes. */
 export type SeedRows = {
-	/** Peer addresses of the others; empty when the platform can't be read. */
+	/** Returns the peer addresses of the other nodes; empty when the platform is unreachable. Deletes stale and malformed rows. */
 	list(): Promise<string[]>;
-	/** Writes the own row soon, and again at each refresh, until the signal aborts. */
+	/** Writes the own row after a random delay and refreshes it until the signal aborts. */
 	run(signal: AbortSignal): Promise<void>;
-	/** Takes the own row back. */
+	/** Removes the own row. */
 	remove(): Promise<void>;
 };
 
-/** Milliseconds within which nodes that start together spread their writes. */
+/** Maximum random delay of the first write in milliseconds, so that nodes that start together do not write at once. */
 const maxStartDelay = 2000;
 
-/** At 570 nodes, a refresh every 30 minutes is 0.3 writes a second. */
+/** Milliseconds between refreshes. With 570 nodes, 30 minutes make 0.3 writes per second. */
 const refreshInterval = 1_800_000;
 
-/** Rows of nodes that ended without removing them are cleared after this. */
+/** Age in milliseconds after which a row counts as left behind by a node that ended, and is deleted. */
 const staleAge = 4 * refreshInterval;
 
+/** Backoff after a failed write, in milliseconds. */
 const initialRetryDelay = 5000;
 const maxRetryDelay = 60_000;
 
-/** Creates the seed rows of one node. */
+/** Creates the access of one node to the seed rows. */
 export function createSeedRows(options: {
 	platform: Platform;
 	clock: Clock;
--- a/packages/control/src/suspect-rows.ts
+++ b/packages/control/src/suspect-rows.ts
@@ -1,7 +1,8 @@
 /**
- * The rows by which requests that crash targets are known beyond the life of a
- * node, and between data centres that are cut off from each other: one row a
- * node with what it found out itself, read by all now and then.
+ * Rows in the platform's table that share suspects (requests that may crash
+ * targets) across restarts of a node and between data centres that are
+ * partitioned from each other. Each node writes one row with the suspects that it
+ * found itself, and all nodes read all rows periodically.
  */
 import {
 	createNotedSuspects,
@@ -12,29 +13,29 @@
 import type {Platform} from '@egretspoke/storage';
 import {sleep, type Clock, type Random} from '@egretspoke/shared';
 
-/** What the rows need. */
+/** Dependencies of the suspect rows. */
 export type SuspectRowsOptions = {
 	platform: Pick<Platform, 'table'>;
 	clock: Clock;
 	random: Random;
 	node: string;
-	/** Suspects that other nodes noted, or an earlier start of this one. */
+	/** Called with the suspects stored by other nodes or by an earlier run of this one. */
 	onSuspects: (suspects: Suspect[]) => void;
 };
 
-/** The rows. */
+/** The node's access to the suspect rows. */
 export type SuspectRows = {
-	/** Keeps suspects beyond the life of this process. */
+	/** Stores suspects, so that they outlive this process. */
 	persist(suspects: readonly Suspect[]): void;
-	/** Writes what was noted and reads what others noted, until the signal aborts. */
+	/** Writes the own row and reads all rows, until the signal aborts. */
 	run(signal: AbortSignal): Promise<void>;
 };
 
 const suspectPrefix = 'suspects/';
-/** Milliseconds between two readings, by a fifth more or less. */
+/** Interval between two reads in milliseconds, with a jitter of a fifth either way. */
 const readInterval = 5000;
 
-/** Creates the rows; nothing is read before `run`. */
+/** Creates the access to the rows; reads nothing before `run`. */
 export function createSuspectRows(options: SuspectRowsOptions): SuspectRows {
 	const {platform, clock, random} = options;
 	const storedSuspects = createNotedSuspects(clock);
@@ -51,7 +52,7 @@
 		},
 	});
 
-	/** The own row counts at the first reading only: an earlier start wrote it. */
+	/** The own row is applied at the first read only, when an earlier run has written it. */
 	const read = async (isFirst: boolean): Promise<boolean> => {
 		const rows = await platform.table.list(suspectPrefix);
 		if (rows.isErr()) {
@@ -80,7 +81,7 @@
 		async run(signal) {
 			let isFirst = true;
 			while (!signal.aborted) {
-				// eslint-disable-next-line no-await-in-loop -- one reading after the other.
+				// eslint-disable-next-line no-await-in-loop -- one read after another.
 				const isRead = await read(isFirst);
 				if (isFirst && isRead) {
 					isFirst = false;
@@ -88,7 +89,7 @@
 				}
 
 				const wait = readInterval * (0.8 + 0.4 * random.fraction());
-				// eslint-disable-next-line no-await-in-loop -- a pause between two readings.
+				// eslint-disable-next-line no-await-in-loop -- one read after another.
 				await sleep(clock, wait, signal);
 			}
 		},
--- a/packages/history/src/checkers.ts
+++ b/packages/history/src/checkers.ts
@@ -1,14 +1,14 @@
 /**
- * The four promises as checks over a history. Each looks only at what targets
- * did and callers were told, so it can't share a mistake with the code that it
- * judges.
+ * The four guarantees as checks over a history. They use only what targets did
+ * and what callers received, so that they share no mistake with the code under
+ * test.
  */
 import type {RecordedEvent} from './event.js';
 
-/** A promise that was broken, and the events that show it. */
+/** A broken guarantee, and the events that show it. */
 export type Violation = {
 	checker: CheckerName;
-	/** The key, the attempt or the node that it is about. */
+	/** The key, the attempt or the node that broke it. */
 	subject: string;
 	detail: string;
 };
@@ -57,12 +57,12 @@
 }
 
 /**
- * Two faults count: an attempt that is told "not run" and runs at any time,
- * and an attempt that is told so although its request had run for another
- * before this one was even sent. A run by a copy that was under way at the same
- * time is no fault: "not run" was true when the home said so. The second fault
- * is one of non-idempotent requests only, since copies of an idempotent one
- * have nothing in common by which a node could tell.
+ * Detects two violations: an attempt is refused as "not run" and runs at any time,
+ * or it is refused although another attempt of its request had run before this one
+ * was sent. A run by a concurrent attempt is no violation: "not run" was true when
+ * the home sent it. The second violation applies to non-idempotent requests only,
+ * because attempts of an idempotent one share nothing by which a node could
+ * relate them.
  */
 function noNotRunRan(history: readonly RecordedEvent[]): Finding[] {
 	const runs = groupBy(select(history, 'ran'), ({key}) => key);
@@ -86,7 +86,7 @@
 	});
 }
 
-/** A node may start anew with nothing, but within an incarnation it only rises. */
+/** A restarted node may begin without a version, but within an incarnation versions only increase. */
 function noVersionWentDown(history: readonly RecordedEvent[]): Finding[] {
 	const taken = groupBy(
 		select(history, 'versionTaken'),
--- a/packages/history/src/event.ts
+++ b/packages/history/src/event.ts
@@ -1,23 +1,23 @@
-/** What happened in one run of a test, as seen from outside the code under test. */
+/** The events of one test run, as observed from outside the code under test. */
 
-/** An attempt is one send of a caller; a key stands for the request behind it. */
+/** An attempt is one transmission by a caller; the key identifies its request. */
 type OfAttempt = {attempt: string; key: string};
 
-/** Everything that the checkers read. */
+/** The input of the checkers. */
 export type HistoryEvent =
-	/** A caller sent an attempt; the digest is of the answer that fits it. */
+	/** A caller sent an attempt; `expected` is the digest of its correct response. */
 	| ({kind: 'submitted'; expected: string} & OfAttempt)
-	/** A node gave the request to a target. */
+	/** A node forwarded the request to a target. */
 	| ({kind: 'handedOver'; node: string} & OfAttempt)
-	/** The target began to run it, and from there its effect may show. */
+	/** The target began to run the request; it may have an effect from then on. */
 	| ({kind: 'ran'; target: string; idempotent?: boolean} & OfAttempt)
-	/** The caller got an answer; the digest is of its bytes. */
+	/** The caller received a response; `digest` covers its bytes. */
 	| ({kind: 'answered'; digest: string} & OfAttempt)
-	/** The caller was told that it was not run. */
+	/** The caller received the error that the request was not run. */
 	| ({kind: 'refused'; code: number} & OfAttempt)
-	/** The caller was told that nobody knows. */
+	/** The caller received the error that the outcome is unknown. */
 	| ({kind: 'unknown'; code: number} & OfAttempt)
-	/** A node put a configuration into force. */
+	/** A node put a configuration in force. */
 	| {
 			kind: 'versionTaken';
 			node: string;
@@ -25,5 +25,5 @@
 			version: number;
 	  };
 
-/** An event with its instant on the run's clock, in milliseconds. */
+/** An event and its time on the run's clock, in milliseconds. */
 export type RecordedEvent = HistoryEvent & {at: number};
--- a/packages/history/src/recorder.ts
+++ b/packages/history/src/recorder.ts
@@ -1,9 +1,9 @@
-/** Keeps the events of one run in the order in which they happened. */
+/** Records the events of one run in the order in which they happen. */
 import {createHash} from 'node:crypto';
 import type {Clock} from '@egretspoke/shared';
 import type {HistoryEvent, RecordedEvent} from './event.js';
 
-/** Takes events from the fakes around the code under test. */
+/** Records events from the fakes around the code under test. */
 export type Recorder = {
 	record(event: HistoryEvent): void;
 	history(): readonly RecordedEvent[];
@@ -20,7 +20,7 @@
 	};
 }
 
-/** SHA-256 of an answer's bytes, in hexadecimal. */
+/** Returns the SHA-256 of a response's bytes, in hexadecimal. */
 export function digestBody(body: Uint8Array): string {
 	return createHash('sha256').update(body).digest('hex');
 }
--- a/packages/storage/src/http-exchange.ts
+++ b/packages/storage/src/http-exchange.ts
@@ -1,37 +1,37 @@
 /**
- * One HTTP exchange with the platform, and how far it got.
+ * One HTTP exchange with the platform, and whether a failed one may have had an
+ * effect.
  *
- * What goes wrong without `handedOver`: a client that calls every failure
- * "unavailable" repeats a write that took effect, or tells an operator that
- * nothing was accepted when it was. One notices a configuration in force that
- * its author was told had failed. Here the request's body is drawn by the
- * connection only once it is open, so that a failure before that moment
- * certainly had no effect and any later one is left open.
+ * A client that reported every failure as "unavailable" would repeat a write that
+ * took effect, or tell an operator that a configuration was not accepted although
+ * it is in force. The request's body is streamed only after the connection is
+ * open, so a failure before that (`handedOver` is false) certainly had no effect,
+ * and the effect of any later failure is unknown.
  */
 import {Readable} from 'node:stream';
 import type {Clock} from '@egretspoke/shared';
 import {Pool} from 'undici';
 
-/** One call to the platform. */
+/** One request to the platform. */
 export type ExchangeRequest = {
 	method: 'GET' | 'POST' | 'PUT';
 	path: string;
 	body?: string;
 };
 
-/** An answer, or how far a failed exchange got. */
+/** A response, or a failure and whether the body was handed to an open connection before it. */
 export type ExchangeResult =
 	| {kind: 'answer'; status: number; effect: string | undefined; text: string}
 	| {kind: 'failed'; handedOver: boolean; detail: string};
 
-/** Carries exchanges over connections that are kept open. */
+/** Sends requests over persistent connections. */
 export type Exchanger = {
-	/** Resolves always. */
+	/** Sends a request; never rejects. */
 	exchange(request: ExchangeRequest): Promise<ExchangeResult>;
 	close(): Promise<void>;
 };
 
-/** Settings of the exchanger; the timeout is in milliseconds for a whole exchange. */
+/** Settings of the exchanger; `timeout` covers a whole exchange, in milliseconds. */
 export type ExchangerOptions = {
 	/** `ip:port` or an `http://` address. */
 	address: string;
@@ -43,7 +43,7 @@
 const connections = 4;
 const keepAliveMs = 30_000;
 
-/** Creates an exchanger with at most four connections. */
+/** Creates an exchanger with a pool of at most four connections. */
 export function createExchanger(options: ExchangerOptions): Exchanger {
 	const {address, timeout, clock, credential} = options;
 	const origin = address.includes('://') ? address : `http://${address}`;
@@ -96,7 +96,7 @@
 	};
 }
 
-/** Gives the body when the open connection asks for it. */
+/** Creates a stream that reads the body only when the open connection pulls it, and calls back then. */
 function streamBody(body: string, onRead: () => void): Readable {
 	return new Readable({
 		highWaterMark: 0,
--- a/packages/storage/src/http-platform.ts
+++ b/packages/storage/src/http-platform.ts
@@ -1,8 +1,7 @@
 /**
- * The platform over HTTP. The protocol stands in `http-protocol.ts`; results
- * are mapped so that each says no more than is known: a call that never
- * reached an open connection is `unavailable`, a write that was handed over
- * and whose answer is missing or unreadable is `unknown`.
+ * The platform over HTTP; `http-protocol.ts` describes the protocol. A call that
+ * never reached an open connection is `unavailable`. A write whose body was sent
+ * and whose response is missing or unreadable is `unknown`.
  */
 import {err, ok, okAsync, ResultAsync, type Result} from 'neverthrow';
 import type {z} from 'zod';
@@ -26,7 +25,7 @@
 type Answer = Extract<ExchangeResult, {kind: 'answer'}>;
 type Effect = 'read' | 'write';
 
-/** Creates a client of the platform; the timeout in milliseconds bounds each call. */
+/** Creates a client of the platform; `timeout` is the timeout of each call in milliseconds. */
 export function createHttpPlatform(options: ExchangerOptions): HttpPlatform {
 	const exchanger = createExchanger(options);
 	const exchange = async (request: ExchangeRequest, effect: Effect) => {
@@ -86,7 +85,7 @@
 	return encodeURIComponent(text);
 }
 
-/** Tells an answer from the three kinds of failure. */
+/** Returns a successful response, or the kind of failure. */
 function classifyResult(
 	result: ExchangeResult,
 	effect: Effect,
--- a/packages/storage/src/http-protocol.ts
+++ b/packages/storage/src/http-protocol.ts
@@ -1,8 +1,8 @@
 /**
- * The wire form of the platform's HTTP interface, shared by the client and by
- * the stand-in that answers it.
+ * The wire format of the platform's HTTP interface, shared by the client and the
+ * stand-in server.
  *
- * | call | answers |
+ * | request | responses |
  * | --- | --- |
  * | `GET /table/rows/<key>` | 200 `Row`, 404 |
  * | `GET /table/rows?prefix=<prefix>` | 200 `{rows: Row[]}` in key order |
@@ -10,16 +10,16 @@
  * | `GET /objects/<name>` | 200 the body as text, 404 |
  * | `PUT /objects/<name>` with the body as text | 204 |
  *
- * Keys and names are percent-encoded. A credential goes as a bearer token.
- * An answer 503 with the header `platform-effect: none` says that the call
- * certainly had no effect; any other failure leaves a write's effect open.
+ * Keys and names are percent-encoded. A credential is sent as a bearer token.
+ * A response 503 with the header `platform-effect: none` certifies that the request
+ * had no effect; after any other failure, the effect of a write is unknown.
  */
 import {z} from 'zod';
 
-/** The header by which the platform certifies that a failed call did nothing. */
+/** The header by which the platform certifies that a failed request had no effect. */
 export const effectHeader = 'platform-effect';
 
-/** The one value of the effect header. */
+/** The only value of the effect header. */
 export const noEffect = 'none';
 
 export const rowSchema = z.object({
