--- a/packages/control/__tests__/configuration-watch.spec.ts
+++ b/packages/control/__tests__/configuration-watch.spec.ts
@@ -45,7 +45,7 @@
 };
 
 describe('configuration watch', () => {
-	it('starts with the defaults and takes what the platform has', async () => {
+	it('starts with the defaults and accepts the version of the platform', async () => {
 		const {clock, watch, publish} = createWatch();
 		const stop = new AbortController();
 		expect(watch.source()).to.equal('defaults');
@@ -59,8 +59,8 @@
 	});
 
 	it('keeps the last accepted version through an outage', async () => {
-		// The table is away for an hour. Falling back to the defaults would make
-		// payments ordinary requests just when the enterprise is in trouble.
+		// The table is unreachable for an hour. A fallback to the defaults would turn
+		// payments into normal requests in the middle of an incident.
 		const {clock, platform, watch, publish} = createWatch();
 		const stop = new AbortController();
 		await publish(bodyOf(3));
@@ -73,20 +73,20 @@
 		stop.abort();
 	});
 
-	it('asks the peer that tells of a higher version', async () => {
+	it('fetches a higher version from the peer that announces it', async () => {
 		const {watch} = createWatch();
 		await watch.receiveVersion(4, async () => bodyOf(4));
 		await watch.receiveVersion(2, async () =>
-			expect.fail('nobody asks for an old body'),
+			expect.fail('an old body was fetched'),
 		);
 		await watch.receiveVersion(9, async () => undefined);
 		expect(watch.current().version).to.equal(4);
 		expect(watch.source()).to.equal('peer');
 	});
 
-	it('refuses a damaged body, says so, and takes the whole one later', async () => {
-		// A body is damaged on the way from a peer or in the store. It could lack
-		// the rule that protects payments and nobody would see it.
+	it('rejects and reports a damaged body, and accepts the intact one later', async () => {
+		// A body is damaged in transit from a peer or in the store. It could lack the
+		// rule that protects payments, without any sign of it.
 		const {watch, publish} = createWatch();
 		const rejected: RejectedBody[] = [];
 		void watch.rejected.observe((each) => rejected.push(each));
@@ -103,7 +103,7 @@
 		expect(watch.current().version).to.equal(5);
 	});
 
-	describe('over any schedule of tellings, damage and outages', () => {
+	describe('with any schedule of announcements, damage and outages', () => {
 		const step = fastCheck.record({
 			way: fastCheck.constantFrom(
 				'hear',
@@ -116,7 +116,7 @@
 			version: fastCheck.integer({min: 1, max: 12}),
 		});
 
-		/** The versions that were in force, and whether each was whole. */
+		/** Runs the steps; returns the versions that were in force and whether each was intact. */
 		const runSchedule = async (
 			steps: Array<{way: string; version: number}>,
 			acceptance: AcceptanceRule,
@@ -159,10 +159,10 @@
 					isWhole && version > (inForce[index - 1]?.version ?? 0),
 			);
 
-		it('never goes down and never has a damaged body in force', async () => {
-			// A data centre comes back with an older version and passes it on, a store
-			// serves a stale row, bodies are cut. Whatever the order, an accepted
-			// configuration must not revert.
+		it('never goes back to an older version and never has a damaged body in force', async () => {
+			// A data centre rejoins with an older version and gossips it, a store returns
+			// a stale row, bodies are truncated. In no order may an accepted
+			// configuration be reverted.
 			await fastCheck.assert(
 				fastCheck.asyncProperty(fastCheck.array(step), async (steps) =>
 					isMonotonicAndWhole(
@@ -173,7 +173,7 @@
 			);
 		});
 
-		it('is seen to go down where the latest heard is taken', async () => {
+		it('goes back with the naive rule that accepts the last received', async () => {
 			const result = await fastCheck.check(
 				fastCheck.asyncProperty(fastCheck.array(step), async (steps) =>
 					isMonotonicAndWhole(
--- a/packages/control/__tests__/configuration.spec.ts
+++ b/packages/control/__tests__/configuration.spec.ts
@@ -35,7 +35,7 @@
 const configuration = readConfiguration(body)._unsafeUnwrap();
 
 describe('configuration', () => {
-	it('writes the same text whatever the order of its parts', () => {
+	it('serializes to the same text regardless of the order of services', () => {
 		const reversed = applyIntents([], intents.toReversed()).toReversed();
 		expect(writeConfiguration(4, reversed)).to.deep.equal(body);
 		expect(writeConfiguration(5, reversed).checksum).not.to.equal(
@@ -43,10 +43,10 @@
 		);
 	});
 
-	it('refuses a body that is damaged or of another version', () => {
-		// A byte flips on the way from a peer, or the body of one version comes
-		// under the number of another. A node that took it would classify payments
-		// by rules that nobody accepted.
+	it('rejects a body that is damaged or of another version', () => {
+		// A byte flips in transit from a peer, or the body of one version arrives
+		// under the number of another. A node that accepted it would classify payments
+		// by rules that were never accepted.
 		const {checksum, text, version} = body;
 		const damaged = text.replace('essential', 'essentiaI');
 		expect(
@@ -66,7 +66,7 @@
 		expect(next.map(({service}) => service)).to.deep.equal(['boats', 'orders']);
 	});
 
-	it('knows what it wants of a target', () => {
+	it('returns the intent for a target', () => {
 		expect(targetIntentOf(configuration, 'vm-17')).to.equal('leave');
 		expect(targetIntentOf(configuration, 'vm-18')).to.equal(undefined);
 	});
@@ -81,7 +81,7 @@
 			return `${found.requestClass} ${found.idempotent} ${found.deadline} ${found.attempts}`;
 		};
 
-		it('takes the rule of the longest path, the method before none', () => {
+		it('applies the rule with the longest path, and a method before none', () => {
 			expect(describeClassification('POST', '/payments')).to.equal(
 				'essential false 2000 2',
 			);
--- a/packages/control/__tests__/confirm.spec.ts
+++ b/packages/control/__tests__/confirm.spec.ts
@@ -50,7 +50,7 @@
 		expect(stored.isOk()).to.equal(true);
 	};
 
-	/** Runs the clock until the confirmation has its answer. */
+	/** Runs the clock until the confirmation is answered. */
 	const confirm = async (
 		id: string,
 		changes: Partial<ConfirmOptions> = {},
@@ -68,7 +68,7 @@
 	};
 
 	describe('two operators', () => {
-		/** Both plans are made from version 1; the answers come in the order of the confirmations. */
+		/** Confirms two plans made from version 1; the answers are in the order of the confirmations. */
 		const race = async (headWrite: HeadWrite) => {
 			await storePlanFrom('p0', '{service: orders, attempts: 1}');
 			await confirm('p0');
@@ -83,10 +83,10 @@
 			return {answers: [await first, await second], after: await accepted()};
 		};
 
-		it('lets one win and tells the other by whom it was beaten', async () => {
-			// Two operators plan from the same version and confirm within the same
-			// moment. The slower one must learn it, and by whom; otherwise it believes
-			// that its rule is in force.
+		it('accepts one plan and reports to the other which plan and author won', async () => {
+			// Two operators plan from the same version and confirm at the same moment.
+			// The slower one must receive the conflict, or they would assume that their
+			// rule is in force.
 			const {answers, after} = await race('compareAndSet');
 			expect(answers).to.deep.equal([
 				{result: 'accepted', plan: 'p1', version: 2, repeated: false},
@@ -104,9 +104,9 @@
 			).to.deep.equal([['orders', 2]]);
 		});
 
-		it('loses the first one silently when the head is overwritten', async () => {
-			// The naive write: both are told that they were accepted, and the change
-			// of the first is gone without a word.
+		it('silently loses the first change when the head is overwritten', async () => {
+			// The naive write: both operators receive `accepted`, and the first change is
+			// lost without an error.
 			const {answers, after} = await race('overwrite');
 			expect(
 				answers.map((answer) => answer !== 'notFound' && answer.result),
@@ -119,7 +119,7 @@
 			]);
 		});
 
-		it('refuses a plan whose base has passed, later as well', async () => {
+		it('rejects a plan with an outdated base, also when it is confirmed later', async () => {
 			await storePlanFrom('p1', '{service: orders}');
 			await storePlanFrom('p2', '{service: boats}');
 			await confirm('p1');
@@ -128,11 +128,11 @@
 		});
 	});
 
-	describe('an answer that is lost', () => {
-		it('is settled by the plan record when the write took effect', async () => {
+	describe('a lost response', () => {
+		it('is resolved by the plan record when the write took effect', async () => {
 			// The platform writes everything and the connection breaks before the
-			// answer. Told that it failed, the operator would plan the same again or
-			// believe that the old rules hold.
+			// response. If this were reported as a failure, the operator would plan again
+			// or assume that the old rules are in force.
 			await storePlanFrom('p1', '{service: orders}');
 			platform.faults.lostAnswers = 1;
 			expect(await confirm('p1')).to.deep.equal({
@@ -147,9 +147,9 @@
 			});
 		});
 
-		it('is told as unknown with the command that settles it when nobody can look', async () => {
-			// The answer is lost and the platform stays away. The truth can't be had
-			// now, and a guess either way would be wrong half of the time.
+		it('is reported as unknown with the command that settles it while the platform is down', async () => {
+			// The response is lost and the platform stays unreachable. The outcome cannot
+			// be determined, and either guess could be wrong.
 			await storePlanFrom('p1', '{service: orders}');
 			platform.faults.lostAnswers = 1;
 			const confirming = confirmPlan('p1', options);
@@ -164,7 +164,7 @@
 			expect(await confirm('p1')).to.include({result: 'accepted', version: 1});
 		});
 
-		it('keeps the loser a loser when another plan wins meanwhile', async () => {
+		it('reports a conflict to a second plan that is confirmed meanwhile', async () => {
 			await storePlanFrom('p1', '{service: orders}');
 			await storePlanFrom('p2', '{service: boats}');
 			platform.faults.lostAnswers = 1;
@@ -174,10 +174,10 @@
 			expect(second).to.include({result: 'conflict', byPlan: 'p1'});
 		});
 
-		it('takes effect once when a slow write comes in after its repeat', async () => {
-			// The platform is slow: the client has given up, and the write lands
-			// later. The repeat carries the same conditions, so only one of the two
-			// can take effect, and no version is skipped.
+		it('takes effect once when a slow write arrives after its retry', async () => {
+			// The platform is slow: the client has timed out, and the write arrives
+			// later. The retry has the same conditions, so only one of the two can take
+			// effect, and no version is skipped.
 			await storePlanFrom('p1', '{service: orders}');
 			const delays = [2200];
 			const slow: Platform = {
@@ -205,7 +205,7 @@
 	});
 
 	describe('the platform between plan and confirm', () => {
-		it('says unavailable when it is down, and the plan is good later', async () => {
+		it('returns unavailable when it is down, and the plan can be confirmed later', async () => {
 			await storePlanFrom('p1', '{service: orders}');
 			platform.faults.down = true;
 			expect(await confirm('p1')).to.include({
@@ -222,12 +222,12 @@
 			expect(await confirm('p1')).to.include({result: 'accepted', version: 1});
 		});
 
-		it('does not know a plan that was never made', async () => {
+		it('returns notFound for a plan that was never made', async () => {
 			expect(await confirm('p9')).to.equal('notFound');
 		});
 	});
 
-	it('keeps a large body in the object store', async () => {
+	it('stores a large body in the object store', async () => {
 		const many = Array.from(
 			{length: 400},
 			(_, index) => `{match: {path: /part-${index}}, class: essential}`,
--- a/packages/control/__tests__/control-network.ts
+++ b/packages/control/__tests__/control-network.ts
@@ -1,4 +1,4 @@
-/** Nodes with control only, on one virtual clock and a network that can be cut. */
+/** Simulated nodes with control only, on one virtual clock and a network with partitions. */
 import type {Member, ProbeMessage} from '@egretspoke/protocol';
 import {
 	createRandom,
@@ -15,31 +15,32 @@
 
 /** One node of the network. */
 export type NetworkNode = {
-	/** Versions in the order in which they came into force. */
+	/** Configuration versions in the order in which they came into force. */
 	versions: number[];
 	name: string;
 	control: Control;
 	dataCentre: string;
 	address: string;
-	/** Ends the process without a farewell. */
+	/** Ends the process without a withdrawal. */
 	kill(): void;
 	freeze(): void;
-	/** Lets the held timers run, as after SIGCONT. */
+	/** Resumes the process and runs the timers that were due, as after SIGCONT. */
 	thaw(): void;
 };
 
-/** The network and its faults. */
+/** The network, its nodes and its partitions. */
 export type Network = {
 	messages: number;
 	nodes: NetworkNode[];
 	add(name: string, options?: Partial<ControlOptions>): Promise<NetworkNode>;
-	/** Cuts links for which this holds; a data centre's name or `platform` at either end. */
+	/** Cuts the links for which `isCut` holds; each end is a data centre's name or `platform`. */
 	cut(isCut: (from: string, to: string) => boolean): void;
 };
 
+/** Latency of a message in one direction, in milliseconds. */
 const oneWayDelay = 1;
 
-/** Creates a network without nodes; a node's name starts with its data centre. */
+/** Creates a network without nodes; the name of an added node starts with its data centre. */
 export function createNetwork(options: {
 	clock: VirtualClock;
 	platform: MemoryPlatform;
@@ -125,7 +126,7 @@
 	return network;
 }
 
-/** A member's record for tests. */
+/** Creates a member record for tests. */
 export function createMember(
 	node: string,
 	fields: Partial<Member> = {},
@@ -144,7 +145,7 @@
 	};
 }
 
-/** A clock whose timers are held back while a process is frozen. */
+/** Wraps a clock so that its timers are held back while the process is frozen. */
 function createGate(clock: Clock) {
 	let isClosed = false;
 	let held: Array<() => void> = [];
@@ -172,7 +173,7 @@
 	return {
 		clock: gated,
 		isClosed: () => isClosed,
-		/** What has arrived is read after the wake. */
+		/** Waits until the process is resumed; messages received meanwhile are read then. */
 		async pass() {
 			if (isClosed) {
 				await new Promise<void>((resolve) => {
--- a/packages/control/__tests__/control.spec.ts
+++ b/packages/control/__tests__/control.spec.ts
@@ -53,10 +53,10 @@
 		expect(state).to.equal('reachable');
 	});
 
-	it('puts an accepted version in force though the platform goes away at once', async () => {
-		// The write is through, and in the same moment the platform goes down for
-		// hours. Were the body to be had only from there, the version would be
-		// accepted and in force nowhere.
+	it('puts an accepted version in force despite an outage right after the acceptance', async () => {
+		// The write takes effect and the platform goes down at that moment, for
+		// hours. If the body were available only there, the version would be accepted
+		// and in force nowhere.
 		const clock = createVirtualClock();
 		const platform = createMemoryPlatform({clock});
 		const network = createNetwork({clock, platform});
@@ -79,10 +79,10 @@
 		}
 	});
 
-	it('keeps a plan whose answer was lost, and no other under its id', async () => {
-		// The write of the plan takes effect and its answer is lost: the operator
-		// should see the plan. Two nodes that drew the same id must not show one
-		// operator a plan and confirm another's.
+	it('returns a stored plan whose response was lost, but no other plan with its id', async () => {
+		// The write of the plan takes effect and its response is lost: the operator
+		// should receive the plan. Two nodes that generated the same id must not show
+		// one operator's plan and confirm the other's.
 		const clock = createVirtualClock();
 		const platform = createMemoryPlatform({clock});
 		const plan = async (author: string) => {
--- a/packages/control/__tests__/gossip-queue.spec.ts
+++ b/packages/control/__tests__/gossip-queue.spec.ts
@@ -2,7 +2,7 @@
 import {createGossipQueue} from '../src/gossip-queue.js';
 
 describe('gossip queue', () => {
-	it('tells urgent news first, then those that were told least', () => {
+	it('sends urgent records first, then those sent least often', () => {
 		const queue = createGossipQueue();
 		queue.add('a', false);
 		queue.add('b', false);
@@ -12,10 +12,10 @@
 		expect(queue.take(4, 3)).to.deep.equal(['c', 'b', 'd', 'a']);
 	});
 
-	it('tells each a bounded number of times, ends oftener than starts', () => {
-		// Without a bound every message would be full for ever; with one that is too
-		// small, a member that leaves would go on getting work from those who missed
-		// it.
+	it('sends each record a bounded number of times, ends more often than starts', () => {
+		// Without a bound, every message would always be full. With too small a bound,
+		// a leaving member would keep receiving requests from nodes that missed its
+		// record.
 		const queue = createGossipQueue();
 		queue.add('start', false);
 		queue.add('end', true);
@@ -29,7 +29,7 @@
 		expect(times).to.deep.equal({start: 5, end: 19});
 	});
 
-	it('tells a record anew from the beginning', () => {
+	it('restarts the count of a record that changes', () => {
 		const queue = createGossipQueue();
 		queue.add('a', true);
 		queue.take(1, 3);
--- a/packages/control/__tests__/intent.spec.ts
+++ b/packages/control/__tests__/intent.spec.ts
@@ -5,7 +5,7 @@
 const read = (text: string) => readIntents({text, file: 'intent.yaml'});
 
 describe('intent', () => {
-	it('reads one service, or a list in JSON', () => {
+	it('parses one service, or a list in JSON', () => {
 		const one = read(`
 service: orders-and-payments
 deadline: 4s
@@ -27,9 +27,9 @@
 		]);
 	});
 
-	it('reports every fault at once, each with its place', () => {
-		// An operator writes a file at night with several slips. If each run showed
-		// only the first, five runs would be needed before the plan is seen.
+	it('reports all errors at once, each with its position', () => {
+		// A file contains several mistakes. If each run reported only the first, the
+		// operator would need five runs to get a plan.
 		const findings = read(`service: orders
 deadlin: 4s
 attempts: 0
@@ -52,7 +52,7 @@
 		]);
 	});
 
-	it('reports the faults of a list with the index of the service', () => {
+	it('reports the errors of a list with the index of the service', () => {
 		const findings = read(`- service: a
   targets: [{node: vm-1, intent: go}]
 - service: a
--- a/packages/control/__tests__/lease.spec.ts
+++ b/packages/control/__tests__/lease.spec.ts
@@ -14,17 +14,17 @@
 		return {real, pause, lease, told: reportedPauses};
 	};
 
-	it('holds while the process runs', async () => {
+	it('does not expire while the process runs', async () => {
 		const {real, lease, told} = create();
 		await real.runTo(60_000);
 		expect(lease.hasExpired()).to.equal(false);
 		expect(told).to.deep.equal([]);
 	});
 
-	it('has lapsed at the first look after a pause, and tells its length', async () => {
-		// A VM is frozen for ten seconds. Its peers have given it up; a request
-		// that reaches it before its first timer must find it suspended, and who
-		// is on call must find the pause in the log.
+	it('has expired at the first check after a pause, and reports its duration', async () => {
+		// A VM is frozen for ten seconds, and its peers have marked it gone. A request
+		// that arrives before its first timer must find it suspended, and the pause
+		// must appear in the log.
 		const {real, pause, lease, told} = create();
 		await real.runTo(60_000);
 		pause.length = 10_000;
--- a/packages/control/__tests__/many-nodes.spec.ts
+++ b/packages/control/__tests__/many-nodes.spec.ts
@@ -6,7 +6,7 @@
 const dataCentres = 6;
 const nodesEach = 95;
 
-/** The two-year size, every node with its own phase of probes and reads. */
+/** Starts the fleet expected in two years; every node probes and reads at its own phase. */
 const startNodes = async (clock: VirtualClock) => {
 	const platform = createMemoryPlatform({clock});
 	platform.faults.delay = 5;
@@ -20,7 +20,7 @@
 	return {platform, network};
 };
 
-/** Plans and confirms a version; the instant at which it was accepted. */
+/** Plans and confirms a version; returns its number once accepted. */
 const confirmVersion = async (clock: VirtualClock, network: Network) => {
 	const {control} = network.nodes[0]!;
 	const planning = control.plan({
@@ -44,10 +44,10 @@
 	).length;
 
 describe('570 nodes in six data centres', () => {
-	it('have a version in force within 4 s, some of them without the platform', async () => {
-		// One data centre can't reach the platform and another can reach nothing
-		// but the platform. A change that is confirmed now must be in force in both
-		// within seconds, or payments are treated differently from place to place.
+	it('have a version in force within 4 s, some of them without access to the platform', async () => {
+		// One data centre cannot reach the platform and another can reach only the
+		// platform. A confirmed change must be in force in both within seconds, or the
+		// data centres treat payments differently.
 		const clock = createVirtualClock();
 		const {platform, network} = await startNodes(clock);
 		const {reads} = platform.counters;
--- a/packages/control/__tests__/membership-network.spec.ts
+++ b/packages/control/__tests__/membership-network.spec.ts
@@ -12,7 +12,7 @@
 	type NetworkNode,
 } from './control-network.js';
 
-/** Three data centres of three nodes each, known to each other. */
+/** Starts three data centres of three nodes each and waits until all views agree. */
 const startNetwork = async (defaults: Partial<ControlOptions> = {}) => {
 	const clock = createVirtualClock();
 	const platform = createMemoryPlatform({clock});
@@ -28,7 +28,7 @@
 	return {clock, platform, network};
 };
 
-/** Who takes work in the view of a node. */
+/** The active members in the view of a node, by name. */
 const listActive = ({control}: NetworkNode): string[] =>
 	control.membership
 		.members()
@@ -49,7 +49,7 @@
 		.sort();
 
 describe('membership on a network', () => {
-	it('is the same everywhere, a node that starts later included', async () => {
+	it('converges on all nodes, including one that starts later', async () => {
 		const {clock, network} = await startNetwork();
 		await network.add('dc2-d');
 		await clock.runTo(20_000);
@@ -58,7 +58,7 @@
 		}
 	});
 
-	it('gives up a node that was killed', async () => {
+	it('marks a killed node gone', async () => {
 		const {clock, network} = await startNetwork();
 		find(network, 'dc2-b').kill();
 		await clock.runTo(20_000);
@@ -68,7 +68,7 @@
 		}
 	});
 
-	it('tells everybody at once that a target leaves, and that it ended', async () => {
+	it('spreads the leave of a target and its end to all nodes at once', async () => {
 		const {clock, network} = await startNetwork();
 		const leaver = find(network, 'dc1-b');
 		leaver.control.leave();
@@ -111,11 +111,11 @@
 		}
 	});
 
-	describe('data centres that are cut off from one another', () => {
-		it('leave each with its own members, and join again', async () => {
-			// The links between data centres break, and those to the platform too.
-			// Each data centre must go on with its own targets and stop sending to the
-			// others', and come together by itself when the links are back.
+	describe('data centres that are partitioned from each other', () => {
+		it('keep their own members each, and merge again afterwards', async () => {
+			// The links between data centres fail, and those to the platform too. Each
+			// data centre must continue with its own targets, stop sending to the others',
+			// and rejoin without intervention when the links recover.
 			const {clock, network} = await startNetwork();
 			network.cut((from, to) => from !== to);
 			await clock.runTo(clock.now() + 15_000);
@@ -135,10 +135,10 @@
 			}
 		});
 
-		it('bring back nobody that left meanwhile', async () => {
-			// While one data centre was cut off, a target elsewhere left. The returning
-			// nodes still have it as active; if they were believed, new work would go
-			// to it again.
+		it('do not reactivate a member that left meanwhile', async () => {
+			// While one data centre was partitioned, a target elsewhere left. The
+			// rejoining nodes still have it as active; if their records were applied, it
+			// would receive requests again.
 			const {clock, network} = await startNetwork({
 				timing: {fullSyncInterval: 500},
 			});
@@ -153,7 +153,7 @@
 			}
 		});
 
-		/** A probe with the record from before the leave, held up on its way by the cut. */
+		/** Delivers a probe with a record from before the leave, delayed by a partition. */
 		const deliverLateProbe = async (defaults: Partial<ControlOptions>) => {
 			const {clock, network} = await startNetwork(defaults);
 			const leaver = find(network, 'dc1-b').control;
@@ -171,13 +171,13 @@
 			return stateOf(receiver, 'dc1-b');
 		};
 
-		it('do not undo a leave by a probe that comes late', async () => {
-			// A probe was under way when the links broke, and arrives when they are
-			// back. It says of a target that left since then that it is active.
+		it('do not undo a leave by a delayed probe', async () => {
+			// A probe was in flight when the links failed, and arrives when they have
+			// recovered. It contains an active record of a target that has left since.
 			expect(await deliverLateProbe({})).to.equal('leaving');
 		});
 
-		it('undo it where the latest heard is taken', async () => {
+		it('undo it with the naive rule that accepts the last received', async () => {
 			const {lastReceived} = mergeRules;
 			const state = await deliverLateProbe({isNewer: lastReceived});
 			expect(state).to.equal('active');
@@ -185,10 +185,10 @@
 	});
 
 	describe('a node that is frozen past its lease', () => {
-		it('takes no new work until it has announced itself anew', async () => {
-			// The hypervisor pauses a VM for ten seconds. The others have given it up;
-			// it wakes in the middle of an instruction and would go on as if nothing
-			// had happened, with keys and members from before.
+		it('accepts no new requests until it has announced itself again', async () => {
+			// The hypervisor pauses a VM for ten seconds, and its peers mark it gone. It
+			// resumes in the middle of an instruction and would continue with outdated
+			// keys and members.
 			const {clock, network} = await startNetwork();
 			const node = find(network, 'dc1-a');
 			const {incarnation} = node.control.membership.self();
@@ -207,7 +207,7 @@
 			}
 		});
 
-		it('goes on with its old incarnation where there is no lease', async () => {
+		it('continues with its old incarnation if there is no lease', async () => {
 			const {clock, network} = await startNetwork({
 				timing: {lease: Number.MAX_SAFE_INTEGER},
 			});
@@ -221,7 +221,7 @@
 			expect(node.control.membership.self().incarnation).to.equal(incarnation);
 		});
 
-		it('comes back when nobody is there to announce itself to', async () => {
+		it('resumes when no peer is reachable', async () => {
 			const {clock, network} = await startNetwork();
 			const node = find(network, 'dc1-a');
 			network.cut(() => true);
@@ -233,10 +233,10 @@
 		});
 	});
 
-	it('suspects nobody when the node itself was held up', async () => {
-		// A starved node doesn't get to read its answers in time. If it blamed the
-		// others, starved nodes would give up healthy ones, and the news of that would
-		// load all of them further.
+	it('suspects no member when the node itself was stalled', async () => {
+		// An overloaded node does not read its responses in time. If it suspected its
+		// peers, overloaded nodes would mark healthy ones gone, and the gossip about it
+		// would add load to all of them.
 		const {clock, network} = await startNetwork();
 		const suspected: string[] = [];
 		let isHeldUp = false;
@@ -270,10 +270,10 @@
 		expect(suspected).to.deep.equal([]);
 	});
 
-	it('takes in a replaced node whose wall clock is behind', async () => {
-		// A VM is replaced and its clock is an hour behind that of the one before.
-		// Its announcements look older than what everybody knows, so that nobody
-		// would send it any work until the clocks were mended.
+	it('accepts a replaced node whose wall clock is behind', async () => {
+		// A VM is replaced, and its clock is an hour behind the old one's. Its records
+		// would be older than the known ones, so it would receive no requests until
+		// the clock is corrected.
 		const {clock, network} = await startNetwork();
 		const old = find(network, 'dc1-b');
 		const {target, ...self} = old.control.membership.self();
@@ -300,7 +300,7 @@
 		}
 	});
 
-	describe('a cold start with the platform away', () => {
+	describe('a cold start during an outage of the platform', () => {
 		const startCold = async (peers: string[]) => {
 			const clock = createVirtualClock();
 			const platform = createMemoryPlatform({clock});
@@ -315,9 +315,9 @@
 			return network;
 		};
 
-		it('finds the others by one address from the settings', async () => {
-			// Everything starts anew after a power cut while the platform is still
-			// down. Nodes that waited for it would serve nobody until it is back.
+		it('finds the other nodes by one seed address', async () => {
+			// All nodes restart after a power failure while the platform is still down.
+			// Nodes that waited for it would serve no requests until it recovers.
 			const network = await startCold(['dc1-a:0']);
 			for (const node of network.nodes) {
 				expect(listActive(node)).to.deep.equal(namesOf(network));
@@ -326,7 +326,7 @@
 			}
 		});
 
-		it('leaves each alone, serving its own target, without an address', async () => {
+		it('leaves each node isolated but active without a seed address', async () => {
 			const network = await startCold([]);
 			for (const node of network.nodes) {
 				expect(listActive(node)).to.deep.equal([node.name]);
@@ -335,10 +335,10 @@
 	});
 
 	describe('a start during an outage', () => {
-		it('takes the highest version that its peers have before it is active', async () => {
-			// A node is replaced while the platform is away, and one data centre still
-			// has an older version. It must not serve by that one when a higher one can
-			// be had.
+		it('loads the highest version of its peers before it is active', async () => {
+			// A node is replaced during an outage of the platform, and one data centre
+			// still has an older version. The node must not serve with it if a higher one
+			// is available.
 			const {clock, network, platform} = await startNetwork();
 			const services = [{service: 'a', requests: [], calls: [], targets: []}];
 			platform.faults.down = true;
--- a/packages/control/__tests__/membership.spec.ts
+++ b/packages/control/__tests__/membership.spec.ts
@@ -21,7 +21,7 @@
 };
 
 describe('membership', () => {
-	it('suspects, then gives up a member that nobody hears', () => {
+	it('marks a member without contact suspect, then gone', () => {
 		const state = createState();
 		suspectMember(state, 'b', 1000);
 		expect(expireMembers(state, 3999, limits)).to.deep.equal([]);
@@ -31,10 +31,10 @@
 		expect(state.entries.has('b')).to.equal(false);
 	});
 
-	it('lets a member refute suspicion and an end by a newer record', () => {
-		// One link is broken, or a node was slow for a moment. The member hears the
-		// rumour from somebody else and must be able to stay, in the same
-		// incarnation, since its keys are still remembered.
+	it('lets a member refute suspect and gone with a newer record', () => {
+		// One link is broken, or a node was slow for a moment. The member receives the
+		// claim from another node and must be able to stay, in the same incarnation,
+		// because it still has its idempotency keys.
 		const own = createMember('b', {state: 'active', heartbeat: 4});
 		const state = createState({heartbeat: 4});
 		for (const claimedState of ['suspect', 'gone'] as const) {
@@ -49,8 +49,8 @@
 	});
 
 	it('does not let suspicion hide that a member is leaving', () => {
-		// A target was told to leave and its node is slow to answer a probe. Were it
-		// merely suspect, and then trusted again, it would get new work.
+		// A target is leaving and its node responds slowly to a probe. If it became
+		// suspect and then active again, it would receive new requests.
 		const state = createState({state: 'leaving', heartbeat: 2});
 		mergeMember(state, createMember('b', {state: 'suspect', heartbeat: 2}), 5);
 		expect(state.entries.get('b')?.member.state).to.equal('leaving');
@@ -58,7 +58,7 @@
 		expect(state.entries.get('b')?.member.state).to.equal('gone');
 	});
 
-	it('outbids a record of an earlier process and keeps quiet about old ones', () => {
+	it('overrides a record of an earlier process and ignores old ones', () => {
 		const own = createMember('self', {incarnation: 50, heartbeat: 3});
 		expect(refute(own, {...own, heartbeat: 2, state: 'gone'})).to.equal(
 			undefined,
@@ -75,7 +75,7 @@
 		);
 	});
 
-	describe('an end, whatever is heard afterwards and in which order', () => {
+	describe('a gone member, with any records in any order afterwards', () => {
 		const stale = fastCheck.record({
 			incarnation: fastCheck.integer({min: 0, max: 5}),
 			heartbeat: fastCheck.integer({min: 0, max: 9}),
@@ -103,10 +103,10 @@
 			return state.entries.get('b')?.member.state === 'gone';
 		};
 
-		it('stands against older records', () => {
-			// A data centre that was cut off still believes in a member of an earlier
-			// life and passes it on. If that brought the member back, requests would
-			// go to a target that has left.
+		it('stays gone with older records', () => {
+			// A data centre that was partitioned still has the member's record from
+			// before its end and gossips it. If that reactivated the member, requests
+			// would go to a target that has left.
 			fastCheck.assert(
 				fastCheck.property(fastCheck.array(stale), (records) =>
 					staysGone(records, mergeRules.newerRecord),
@@ -115,7 +115,7 @@
 			);
 		});
 
-		it('falls where the latest heard is taken', () => {
+		it('does not stay gone with the naive rule that accepts the last received', () => {
 			const result = fastCheck.check(
 				fastCheck.property(fastCheck.array(stale), (records) =>
 					staysGone(records, mergeRules.lastReceived),
@@ -125,7 +125,7 @@
 			expect(result.failed).to.equal(true);
 		});
 
-		it('yields to a new life', () => {
+		it('is replaced by a new incarnation', () => {
 			expect(
 				staysGone([{incarnation: 6, state: 'active'}], mergeRules.newerRecord),
 			).to.equal(false);
--- a/packages/control/__tests__/plan.spec.ts
+++ b/packages/control/__tests__/plan.spec.ts
@@ -43,7 +43,7 @@
 )._unsafeUnwrap();
 
 describe('plan', () => {
-	it('names its base and every difference with its effect', () => {
+	it('contains its base and every difference with its effect', () => {
 		const {plan: made, body} = plan(
 			`
 service: orders
@@ -89,10 +89,10 @@
 		expect(made.changes).to.deep.equal([]);
 	});
 
-	it('warns of the last target that leaves and of weaker protection', () => {
-		// An operator takes the last loft queue out, or a slip turns payments into
-		// something that may run twice. Nothing forbids it, but it must be seen
-		// before the confirmation and not by the boat owners.
+	it('warns about the last target that leaves and about weaker protection', () => {
+		// An operator removes the last target of a service, or a mistake makes payments
+		// idempotent, so that they may run twice. Both are allowed, but must be visible
+		// before the confirmation.
 		const {plan: made} = plan(
 			`
 service: orders
@@ -113,7 +113,7 @@
 		]);
 	});
 
-	it('warns of calls in a cycle', () => {
+	it('warns about cyclic calls', () => {
 		const {plan: made} = plan(
 			'[{service: a, calls: [b]}, {service: b, calls: [a]}]',
 		);
--- a/packages/history/__tests__/checkers.spec.ts
+++ b/packages/history/__tests__/checkers.spec.ts
@@ -29,73 +29,73 @@
 
 describe('history checkers', () => {
 	describe('accept', () => {
-		it('a request that ran once and was answered', () => {
+		it('a request that ran once and received its response', () => {
 			expect(check([submitted, ran, answered])).to.deep.equal([]);
 		});
 
-		it('an unknown end of a request that ran', () => {
+		it('an unknown outcome of a request that ran', () => {
 			const unknown: HistoryEvent = {...refused, kind: 'unknown', code: 301};
 			expect(check([submitted, ran, unknown])).to.deep.equal([]);
 		});
 
-		it('a refusal whose key runs for a later attempt', () => {
+		it('a refusal of an attempt whose request runs in a later attempt', () => {
 			const later: HistoryEvent = {...ran, attempt: 'a2'};
 			expect(check([submitted, refused, later])).to.deep.equal([]);
 		});
 
-		it('a refusal while a copy of the same request is on its way to run', () => {
+		it('a refusal while a concurrent attempt of the same request runs', () => {
 			const copy: HistoryEvent = {...submitted, attempt: 'a2'};
 			const late: HistoryEvent = {...refused, attempt: 'a2'};
 			expect(check([submitted, copy, ran, late])).to.deep.equal([]);
 		});
 
-		it('a refusal of one copy of an idempotent request', () => {
+		it('a refusal of one attempt of an idempotent request that ran in another', () => {
 			const once: HistoryEvent = {...ran, idempotent: true};
 			const other: HistoryEvent = {...refused, attempt: 'a2'};
 			expect(check([submitted, once, once, other])).to.deep.equal([]);
 		});
 
-		it('versions that rise, and a restart that begins anew', () => {
+		it('increasing versions, and a restart with a lower version', () => {
 			expect(
 				check([version(1, 4), version(1, 4), version(1, 5), version(2, 3)]),
 			).to.deep.equal([]);
 		});
 	});
 
-	describe('catch', () => {
+	describe('detect', () => {
 		it('a key that ran twice', () => {
-			// A payment is sent to a second target after its answer was lost, and
-			// the boat owner is charged twice.
+			// A payment is retried at a second target after its response was lost, and
+			// the customer is charged twice.
 			const again: HistoryEvent = {...ran, target: 't2'};
 			expect(check([submitted, ran, again])).to.deep.equal(['noKeyRanTwice k']);
 		});
 
-		it('a "not run" that had run', () => {
-			// A node times out and claims that the booking was not run.
+		it('a "not run" response to an attempt that had run', () => {
+			// A node times out and reports that the booking was not run.
 			expect(check([submitted, ran, refused])).to.deep.equal([
 				'noNotRunRan a1',
 			]);
 		});
 
-		it('a "not run" that ran afterwards', () => {
-			// A frozen node wakes and dispatches what it had already refused.
+		it('a "not run" response to an attempt that ran afterwards', () => {
+			// A frozen node resumes and dispatches a request that it had refused.
 			expect(check([submitted, refused, ran])).to.deep.equal([
 				'noNotRunRan a1',
 			]);
 		});
 
-		it('a "not run" to an idempotent attempt that ran', () => {
-			// The first target lost its answer, the second refused, and the refusal
-			// of the second is given as the end of both.
+		it('a "not run" response to an idempotent attempt that ran', () => {
+			// The response of the first target was lost, the second target refused, and
+			// the refusal is returned as the outcome of both.
 			const once: HistoryEvent = {...ran, idempotent: true};
 			expect(check([submitted, once, refused])).to.deep.equal([
 				'noNotRunRan a1',
 			]);
 		});
 
-		it('a "not run" to a repeat whose first attempt had run', () => {
-			// A restarted home doesn't know the key and tells a repeat that its
-			// payment was not run.
+		it('a "not run" response to a retry whose first attempt had run', () => {
+			// A restarted home has lost the key and refuses a retry of a payment as
+			// not run.
 			const sent: HistoryEvent = {...submitted, attempt: 'a2'};
 			const repeat: HistoryEvent = {...refused, attempt: 'a2'};
 			expect(check([submitted, ran, sent, repeat])).to.deep.equal([
@@ -103,24 +103,24 @@
 			]);
 		});
 
-		it('a version that went down', () => {
-			// A data centre that was cut off hands its older version to a node
-			// that already had the newer one in force.
+		it('a decreasing version', () => {
+			// A data centre that was partitioned sends its older version to a node that
+			// already has the newer one in force.
 			expect(check([version(1, 4), version(1, 3)])).to.deep.equal([
 				'noVersionWentDown n@1',
 			]);
 		});
 
-		it("another request's answer", () => {
-			// A late answer is taken for that of the next exchange.
+		it("another request's response", () => {
+			// A late response is matched to the next exchange.
 			const wrong: HistoryEvent = {...answered, digest: 'other'};
 			expect(check([submitted, ran, wrong])).to.deep.equal([
 				'noAnswerReachedAnother a1',
 			]);
 		});
 
-		it('an answer cut short', () => {
-			// A connection breaks in the middle of a body and the rest is missing.
+		it('a truncated response', () => {
+			// A connection breaks in the middle of a response body.
 			const cut: HistoryEvent = {
 				...answered,
 				digest: digestBody(new TextEncoder().encode('receipt')),
@@ -130,7 +130,7 @@
 			]);
 		});
 
-		it('an answer to an attempt that nobody sent', () => {
+		it('a response to an attempt that was never sent', () => {
 			expect(check([answered])).to.deep.equal(['noAnswerReachedAnother a1']);
 		});
 	});
@@ -140,7 +140,7 @@
 	return {kind: 'versionTaken', node: 'n', incarnation, version: number};
 }
 
-/** Gives each event the next millisecond. */
+/** Records the events one millisecond apart and returns the violations. */
 function check(events: HistoryEvent[]): string[] {
 	let instant = 0;
 	const recorder = createRecorder({now: () => instant++});
--- a/packages/history/src/checkers.ts
+++ b/packages/history/src/checkers.ts
@@ -79,7 +79,7 @@
 			? [
 					{
 						subject: attempt,
-						detail: `told "not run" at ${at} ms; ${key} ran at ${run.target}, ${run.at} ms`,
+						detail: `refused as "not run" at ${at} ms; ${key} ran at ${run.target}, ${run.at} ms`,
 					},
 				]
 			: [];
@@ -113,7 +113,7 @@
 		.filter(({attempt, digest}) => expected.get(attempt) !== digest)
 		.map(({attempt, digest, at}) => ({
 			subject: attempt,
-			detail: `got an answer with digest ${digest} at ${at} ms`,
+			detail: `received a response with digest ${digest} at ${at} ms`,
 		}));
 }
 
