--- a/packages/control/src/classification.ts
+++ b/packages/control/src/classification.ts
@@ -98,7 +98,7 @@
 		return undefined;
 	}
 
-	let prefix = trimSlash(withoutQuery(path));
+	let prefix = trimSlash(stripQuery(path));
 	for (;;) {
 		const rule = methodRules?.get(prefix) ?? anyMethodRules?.get(prefix);
 		if (rule ?? prefix === '') {
@@ -109,7 +109,7 @@
 	}
 }
 
-function withoutQuery(path: string): string {
+function stripQuery(path: string): string {
 	const end = path.search(/[?#]/u);
 	return end === -1 ? path : path.slice(0, end);
 }
--- a/packages/control/src/configuration-watch.ts
+++ b/packages/control/src/configuration-watch.ts
@@ -98,7 +98,12 @@
 export function createConfigurationWatch(
 	options: ConfigurationWatchOptions,
 ): ConfigurationWatch {
-	const {platform, clock, random, interval: period = defaultInterval} = options;
+	const {
+		platform,
+		clock,
+		random,
+		interval: readInterval = defaultInterval,
+	} = options;
 	const {acceptance = acceptanceRules.higherAndWhole} = options;
 	const accepted = createSubject<Configuration>();
 	const rejected = createSubject<RejectedBody>();
@@ -179,11 +184,12 @@
 		},
 		readPlatform,
 		async run(signal) {
-			await sleep(clock, period * random.fraction(), signal);
+			await sleep(clock, readInterval * random.fraction(), signal);
 			while (!signal.aborted) {
 				// eslint-disable-next-line no-await-in-loop -- one read after another.
 				await readPlatform();
-				const wait = period * (1 - jitter + 2 * jitter * random.fraction());
+				const wait =
+					readInterval * (1 - jitter + 2 * jitter * random.fraction());
 				// eslint-disable-next-line no-await-in-loop -- one read after another.
 				await sleep(clock, wait, signal);
 			}
--- a/packages/control/src/configuration.ts
+++ b/packages/control/src/configuration.ts
@@ -155,8 +155,10 @@
 }
 
 /** Sorts keys and lists; absent keys stay absent in the text. */
-function canonicalize(part: ServiceConfiguration): ServiceConfiguration {
-	const {service, deadline, attempts, requests, calls, targets} = part;
+function canonicalize(
+	configuration: ServiceConfiguration,
+): ServiceConfiguration {
+	const {service, deadline, attempts, requests, calls, targets} = configuration;
 	return {
 		service,
 		deadline,
--- a/packages/control/src/confirm.ts
+++ b/packages/control/src/confirm.ts
@@ -45,7 +45,7 @@
 const settleAttempts = 4;
 
 /** Backoff before the first of these attempts, in milliseconds; doubles with each. */
-const settleDelay = 200;
+const initialSettleDelay = 200;
 
 /** Confirms a plan by its id; resolves with `notFound` when the platform has no such plan. */
 export async function confirmPlan(
@@ -79,7 +79,7 @@
 	}
 
 	if (record.acceptedVersion !== undefined) {
-		return ok(accept(id, record.acceptedVersion, true));
+		return ok(createAcceptedAnswer(id, record.acceptedVersion, true));
 	}
 
 	const head = await readHead(platform);
@@ -96,6 +96,7 @@
 	return write(id, {record, plan: plan.value, head: head.value}, options);
 }
 
+/** Sends the transaction that accepts the plan. */
 async function write(
 	id: string,
 	found: {record: PlanRecord; plan: Stored<PlanRecord>; head: Stored<Head>},
@@ -128,17 +129,17 @@
 	];
 	const written = await platform.table.transact(writes);
 	if (written.isOk()) {
-		return ok(accept(id, version, false));
+		return ok(createAcceptedAnswer(id, version, false));
 	}
 
 	if (written.error.kind !== 'conflict') {
 		return err(written.error);
 	}
 
-	const now = await readHead(platform);
-	return now.isErr()
-		? err(now.error)
-		: resolveConflict(id, record, now.value.value, platform);
+	const latestHead = await readHead(platform);
+	return latestHead.isErr()
+		? err(latestHead.error)
+		: resolveConflict(id, record, latestHead.value.value, platform);
 }
 
 /** Handles a head that is not the plan's base: another plan was accepted, or this one was earlier. */
@@ -164,7 +165,7 @@
 					byPlan: head?.plan ?? '',
 					byAuthor: head?.author ?? '',
 				}
-			: accept(id, accepted, true),
+			: createAcceptedAnswer(id, accepted, true),
 	);
 }
 
@@ -180,7 +181,7 @@
 ): Promise<ConfirmAnswer | 'notFound'> {
 	const {clock, random} = options;
 	for (let round = 0; round < settleAttempts; round++) {
-		const delay = settleDelay * 2 ** round * (0.5 + random.fraction());
+		const delay = initialSettleDelay * 2 ** round * (0.5 + random.fraction());
 		// eslint-disable-next-line no-await-in-loop -- one attempt after another.
 		await sleep(clock, delay);
 		// eslint-disable-next-line no-await-in-loop -- one attempt after another.
@@ -201,6 +202,10 @@
 	};
 }
 
-function accept(id: string, version: number, repeated: boolean): ConfirmAnswer {
+function createAcceptedAnswer(
+	id: string,
+	version: number,
+	repeated: boolean,
+): ConfirmAnswer {
 	return {result: 'accepted', plan: id, version, repeated};
 }
--- a/packages/control/src/control.ts
+++ b/packages/control/src/control.ts
@@ -115,10 +115,10 @@
 	const pendingFetches = new Set<Promise<void>>();
 	let isLeavingByIntent = false;
 
-	const trackFetch = async (hearing: Promise<void>) => {
-		pendingFetches.add(hearing);
-		await hearing;
-		pendingFetches.delete(hearing);
+	const trackFetch = async (fetching: Promise<void>) => {
+		pendingFetches.add(fetching);
+		await fetching;
+		pendingFetches.delete(fetching);
 	};
 
 	const applyConfiguration = (accepted: Configuration) => {
--- a/packages/control/src/intent.ts
+++ b/packages/control/src/intent.ts
@@ -90,7 +90,11 @@
 	const services = Array.isArray(value) ? (value as unknown[]) : [value];
 	const isList = Array.isArray(value);
 	const named = services.flatMap((service, index) =>
-		nameEntry(service, [...(isList ? [index] : []), 'service'], ['service']),
+		createNamedEntry(
+			service,
+			[...(isList ? [index] : []), 'service'],
+			['service'],
+		),
 	);
 	return [
 		...listDuplicates(named, 'the service'),
@@ -101,22 +105,24 @@
 }
 
 function findDuplicatesWithin(service: unknown, base: Path): DocumentIssue[] {
-	const requests = listOf(service, 'requests').flatMap((request, index) =>
-		nameEntry(
+	const requests = getList(service, 'requests').flatMap((request, index) =>
+		createNamedEntry(
 			request,
 			[...base, 'requests', index, 'match'],
 			['match', 'method'],
 			['match', 'path'],
 		),
 	);
-	const calls = listOf(service, 'calls').map((call, index) => ({
+	const calls = getList(service, 'calls').map((call, index) => ({
 		path: [...base, 'calls', index],
 		name: String(call),
 	}));
-	const targets = listOf(service, 'targets').flatMap((target, index) =>
-		nameEntry(target, [...base, 'targets', index, 'node'], ['node']),
+	const targets = getList(service, 'targets').flatMap((target, index) =>
+		createNamedEntry(target, [...base, 'targets', index, 'node'], ['node']),
+	);
+	const self = calls.filter(
+		({name}) => name === getByPath(service, ['service']),
 	);
-	const self = calls.filter(({name}) => name === lookUp(service, ['service']));
 	return [
 		...listDuplicates(requests, 'the match'),
 		...listDuplicates(calls, 'the call'),
@@ -147,18 +153,22 @@
 	});
 }
 
-function nameEntry(value: unknown, path: Path, ...keys: string[][]): Entry[] {
-	const parts = keys.map((key) => lookUp(value, key));
+function createNamedEntry(
+	value: unknown,
+	path: Path,
+	...keys: string[][]
+): Entry[] {
+	const parts = keys.map((key) => getByPath(value, key));
 	const name = parts.filter((part) => typeof part === 'string').join(' ');
 	return name === '' ? [] : [{path, name}];
 }
 
-function listOf(value: unknown, key: string): unknown[] {
-	const list = lookUp(value, [key]);
+function getList(value: unknown, key: string): unknown[] {
+	const list = getByPath(value, [key]);
 	return Array.isArray(list) ? (list as unknown[]) : [];
 }
 
-function lookUp(value: unknown, path: string[]): unknown {
+function getByPath(value: unknown, path: string[]): unknown {
 	let current = value;
 	for (const key of path) {
 		current =
--- a/packages/control/src/plan-warnings.ts
+++ b/packages/control/src/plan-warnings.ts
@@ -25,50 +25,56 @@
 }
 
 function warnOfLastTargets({after, targets}: WarningInput): string[] {
-	return after.flatMap((part) => {
-		const leaving = listLeaving(part);
-		const known = targets.filter(({service}) => service === part.service);
+	return after.flatMap((configuration) => {
+		const leaving = listLeaving(configuration);
+		const known = targets.filter(
+			({service}) => service === configuration.service,
+		);
 		const isLast =
 			leaving.size > 0 && known.every(({node}) => leaving.has(node));
 		return isLast
 			? [
-					`the last target of ${part.service} leaves: its requests will be refused`,
+					`the last target of ${configuration.service} leaves: its requests will be refused`,
 				]
 			: [];
 	});
 }
 
 function warnOfUnknownNodes({after, targets}: WarningInput): string[] {
-	return after.flatMap((part) =>
-		part.targets.flatMap(({node}) => {
+	return after.flatMap((configuration) =>
+		configuration.targets.flatMap(({node}) => {
 			const known = targets.find((target) => target.node === node);
 			if (!known) {
 				return [`${node} has not announced itself`];
 			}
 
-			return known.service === part.service
+			return known.service === configuration.service
 				? []
-				: [`${node} announces ${known.service}, not ${part.service}`];
+				: [`${node} announces ${known.service}, not ${configuration.service}`];
 		}),
 	);
 }
 
 function warnOfLostProtection({before, after}: WarningInput): string[] {
-	const old = new Map(before.map((each) => [each.service, each]));
-	return after.flatMap((part) => {
-		const rules = old.get(part.service)?.requests ?? [];
-		const was = new Map(rules.map((rule) => [describeMatch(rule), rule]));
-		return part.requests.flatMap((rule) => {
+	const previousServices = new Map(before.map((each) => [each.service, each]));
+	return after.flatMap((configuration) => {
+		const rules = previousServices.get(configuration.service)?.requests ?? [];
+		const previousRules = new Map(
+			rules.map((rule) => [describeMatch(rule), rule]),
+		);
+		return configuration.requests.flatMap((rule) => {
 			const match = describeMatch(rule);
-			const previous = was.get(match);
+			const previous = previousRules.get(match);
 			const rank = (each: typeof rule | undefined) =>
 				rankOf(each?.class ?? defaultIntent.requestClass);
 			return [
 				...(previous && rank(rule) > rank(previous)
-					? [`${part.service}: ${match} will be refused earlier than before`]
+					? [
+							`${configuration.service}: ${match} will be refused earlier than before`,
+						]
 					: []),
 				...(previous?.idempotent === false && rule.idempotent
-					? [`${part.service}: ${match} may run twice from now on`]
+					? [`${configuration.service}: ${match} may run twice from now on`]
 					: []),
 			];
 		});
@@ -89,23 +95,25 @@
 
 /** In a cycle, a request can return to a service that is still processing it. */
 function warnOfCycles({after}: WarningInput): string[] {
-	const calls = new Map(after.map((part) => [part.service, part.calls]));
+	const calls = new Map(
+		after.map((configuration) => [configuration.service, configuration.calls]),
+	);
 	return after
 		.filter(({service}) => isReachable(calls, service))
 		.map(({service}) => `${service} is called again by services that it calls`);
 }
 
 function isReachable(calls: Map<string, string[]>, service: string): boolean {
-	const open = [...(calls.get(service) ?? [])];
+	const pending = [...(calls.get(service) ?? [])];
 	const seen = new Set<string>();
-	for (let next = open.pop(); next !== undefined; next = open.pop()) {
+	for (let next = pending.pop(); next !== undefined; next = pending.pop()) {
 		if (next === service) {
 			return true;
 		}
 
 		if (!seen.has(next)) {
 			seen.add(next);
-			open.push(...(calls.get(next) ?? []));
+			pending.push(...(calls.get(next) ?? []));
 		}
 	}
 
--- a/packages/control/src/plan.ts
+++ b/packages/control/src/plan.ts
@@ -48,12 +48,12 @@
 	before: ServiceConfiguration[],
 	after: ServiceConfiguration[],
 ): PlanChange[] {
-	const old = new Map(before.map((each) => [each.service, each]));
-	const current = new Map(after.map((each) => [each.service, each]));
-	const names = new Set([...old.keys(), ...current.keys()]);
+	const previousServices = new Map(before.map((each) => [each.service, each]));
+	const nextServices = new Map(after.map((each) => [each.service, each]));
+	const names = new Set([...previousServices.keys(), ...nextServices.keys()]);
 	return [...names].sort().flatMap((service) => {
-		const previous = flattenSettings(old.get(service));
-		const next = flattenSettings(current.get(service));
+		const previous = flattenSettings(previousServices.get(service));
+		const next = flattenSettings(nextServices.get(service));
 		const paths = new Set([...previous.keys(), ...next.keys()]);
 		return [...paths]
 			.filter((path) => previous.get(path) !== next.get(path))
@@ -65,20 +65,23 @@
 
 /** Returns the settings of a service by path. */
 function flattenSettings(
-	part: ServiceConfiguration | undefined,
+	configuration: ServiceConfiguration | undefined,
 ): Map<string, string> {
 	const settings = new Map<string, string>();
-	if (!part) {
+	if (!configuration) {
 		return settings;
 	}
 
 	settings.set('service', 'configured');
 	settings.set(
 		'deadline',
-		formatDuration(part.deadline ?? defaultIntent.deadline),
+		formatDuration(configuration.deadline ?? defaultIntent.deadline),
 	);
-	settings.set('attempts', String(part.attempts ?? defaultIntent.attempts));
-	for (const rule of part.requests) {
+	settings.set(
+		'attempts',
+		String(configuration.attempts ?? defaultIntent.attempts),
+	);
+	for (const rule of configuration.requests) {
 		const match = describeMatch(rule);
 		settings.set(
 			`requests[${match}].class`,
@@ -90,11 +93,11 @@
 		);
 	}
 
-	for (const call of part.calls) {
+	for (const call of configuration.calls) {
 		settings.set(`calls[${call}]`, 'allowed');
 	}
 
-	for (const {node, intent} of part.targets) {
+	for (const {node, intent} of configuration.targets) {
 		settings.set(`targets[${node}]`, intent);
 	}
 
@@ -118,14 +121,14 @@
 	};
 }
 
-type Describe = (
+type DescribeEffect = (
 	after: string | undefined,
 	name: string,
 	service: string,
 ) => string;
 
 /** Functions that describe the effect of a change, by the kind of setting. */
-const effects: Record<SettingKind, Describe> = {
+const effects: Record<SettingKind, DescribeEffect> = {
 	service: (after, _name, service) =>
 		after === undefined
 			? `${service} falls back to the built-in defaults`
--- a/packages/control/src/seed-rows.ts
+++ b/packages/control/src/seed-rows.ts
@@ -35,7 +35,7 @@
 const refreshInterval = 1_800_000;
 
 /** Age in milliseconds after which a row counts as left behind by a node that ended, and is deleted. */
-const staleAge = 4 * refreshInterval;
+const staleRowAge = 4 * refreshInterval;
 
 /** Backoff after a failed write, in milliseconds. */
 const initialRetryDelay = 5000;
@@ -68,7 +68,7 @@
 			const addresses: string[] = [];
 			for (const {key, version, value} of rows.unwrapOr([])) {
 				const seed = seedSchema.safeParse(parseJson(value));
-				if (!seed.success || now - seed.data.refreshedAt > staleAge) {
+				if (!seed.success || now - seed.data.refreshedAt > staleRowAge) {
 					void platform.table.transact([
 						{kind: 'delete', key, ifVersion: version},
 					]);
