--- a/packages/control/__tests__/membership-network.spec.ts
+++ b/packages/control/__tests__/membership-network.spec.ts
@@ -12,7 +12,7 @@
 	type NetworkNode,
 } from './control-network.js';
 
-/** Starts three data centres of three nodes each and waits until all views agree. */
+/** Starts three data centres of three nodes each and runs them to 10 s of the clock. */
 const startNetwork = async (defaults: Partial<ControlOptions> = {}) => {
 	const clock = createVirtualClock();
 	const platform = createMemoryPlatform({clock});
--- a/packages/control/src/configuration-acceptance.ts
+++ b/packages/control/src/configuration-acceptance.ts
@@ -28,7 +28,7 @@
 	): Result<Configuration, Rejection>;
 };
 
-/** The rules by name; `lastReceived` is the naive rule, for tests only. */
+/** The rules by name; `lastReceived` is the naive rule, for tests that show its effect. */
 export const acceptanceRules = {
 	higherAndWhole: {
 		isWanted: (current, version) => version > current.version,
--- a/packages/control/src/confirm.ts
+++ b/packages/control/src/confirm.ts
@@ -3,10 +3,11 @@
  * still the plan's base, together with the version's body and the plan's record.
  *
  * Without the condition, two operators could confirm plans made from the same
- * version, and the second would silently undo the first. Without the plan's
- * record, a lost response would leave the operator without the outcome, and they
- * would confirm or plan again. A reader of the record knows the outcome, and the
- * same transaction may be retried: its conditions prevent a second effect.
+ * version, and the second would silently undo the first, such as a payment rule
+ * that was reported as in force. Without the plan's record, an operator whose
+ * response was lost would have to confirm or plan again without the outcome. The
+ * record shows the outcome to every reader, and the same transaction may be
+ * retried, because its conditions prevent a second effect.
  */
 import type {ConfirmAnswer} from '@egretspoke/protocol';
 import type {Platform, PlatformError, TableWrite} from '@egretspoke/storage';
--- a/packages/control/src/membership-timing.ts
+++ b/packages/control/src/membership-timing.ts
@@ -17,14 +17,15 @@
 	/** Minimum interval between two such requests. */
 	minRejoinSyncInterval: number;
 	/**
-	 * The same per member; the larger of the two applies. The response grows with
-	 * the number of members, and this bounds it to 290 bytes in 50 ms.
+	 * The same per member; the larger of the two applies. The response has about
+	 * 290 bytes per member, so its bandwidth stays below 290 bytes in 50 ms.
 	 */
 	minRejoinSyncIntervalPerMember: number;
 	/** How long the record of a gone member is retained. */
 	goneRetention: number;
 };
 
+/** The default intervals and timeouts, in milliseconds. */
 export const defaultTiming: MembershipTiming = {
 	probeInterval: 1000,
 	probeTimeout: 500,
--- a/packages/control/src/membership.ts
+++ b/packages/control/src/membership.ts
@@ -44,7 +44,7 @@
 	gone: 4,
 };
 
-/** The rules by name; `lastReceived` is the naive rule, for tests only. */
+/** The rules by name; `lastReceived` is the naive rule, for tests that show its effect. */
 export const mergeRules = {
 	newerRecord: (known, incoming) => compareRecords(incoming, known) > 0,
 	lastReceived: () => true,
--- a/packages/control/src/suspect-rows.ts
+++ b/packages/control/src/suspect-rows.ts
@@ -32,6 +32,7 @@
 };
 
 const suspectPrefix = 'suspects/';
+
 /** Interval between two reads in milliseconds, with a jitter of a fifth either way. */
 const readInterval = 5000;
 
--- a/packages/storage/src/http-exchange.ts
+++ b/packages/storage/src/http-exchange.ts
@@ -28,6 +28,7 @@
 export type Exchanger = {
 	/** Sends a request; never rejects. */
 	exchange(request: ExchangeRequest): Promise<ExchangeResult>;
+	/** Closes all connections. */
 	close(): Promise<void>;
 };
 
@@ -40,6 +41,7 @@
 	credential?: string;
 };
 
+/** Maximum number of connections. */
 const connections = 4;
 const keepAliveMs = 30_000;
 
--- a/packages/storage/src/http-protocol.ts
+++ b/packages/storage/src/http-protocol.ts
@@ -22,18 +22,22 @@
 /** The only value of the effect header. */
 export const noEffect = 'none';
 
+/** A row of the table. */
 export const rowSchema = z.object({
 	key: z.string(),
 	version: z.number().int().positive(),
 	value: z.string(),
 });
 
+/** The response to a list or a transaction. */
 export const rowsAnswerSchema = z.object({rows: z.array(rowSchema)});
 
+/** The response 409 to a transaction whose condition does not hold. */
 export const conflictAnswerSchema = z.object({detail: z.string()});
 
 const condition = z.number().int().nonnegative().optional();
 
+/** The body of a transaction. */
 export const transactionSchema = z.object({
 	writes: z.array(
 		z.discriminatedUnion('kind', [
