--- a/packages/decisions/__tests__/egretspoke-policy.spec.ts
+++ b/packages/decisions/__tests__/egretspoke-policy.spec.ts
@@ -4,7 +4,7 @@
 import {createCall} from './fixtures.js';
 
 describe('egretspoke policy', () => {
-	it('dispatches essential work before the normal work that came first', () => {
+	it('dispatches an essential request before an earlier normal one', () => {
 		const admission = egretspokePolicy.createAdmission({
 			service: 'orders',
 			slots: 1,
@@ -18,10 +18,12 @@
 		const essential = createCall('essential', {requestClass: 'essential'});
 		expect(admission.arrive(essential, 2).kind).to.equal('wait');
 		admission.finish('running', {duration: 5, result: 'ok'}, 5);
-		expect(admission.turns(5).map(({id}) => id)).to.deep.equal(['essential']);
+		expect(admission.processQueue(5).map(({id}) => id)).to.deep.equal([
+			'essential',
+		]);
 	});
 
-	it('sends to a candidate that takes work', () => {
+	it('sends to an active candidate', () => {
 		const routing = egretspokePolicy.createRouting({
 			dataCentre: 'a',
 			random: createRandom(1),
--- a/packages/decisions/src/admission-level.ts
+++ b/packages/decisions/src/admission-level.ts
@@ -1,99 +1,111 @@
 /**
- * The admission level: the highest priority number that is let in while the
+ * The admission level: the highest priority number that is admitted while the
  * target is saturated (DAGOR, Zhou et al., SoCC 2018).
  *
- * Load pattern: more work arrives than the slots can run. Without a level the
- * queue refuses whichever request happens to wait longest, each layer another
- * one, so that the calls of one request are refused here and run there; one
- * notices a deepest service that is fully busy while few whole requests end
- * well. A priority number that is the same at every layer makes all layers
- * refuse the same requests, and lets the layers above refuse them first.
+ * Load pattern: more work arrives than the slots can run. Without a level each
+ * layer refuses different requests, those that happen to wait longest, so that
+ * the calls of one request are refused at one service and run at another; the
+ * deepest service is fully busy while few whole requests succeed. The priority
+ * number is the same at every layer, so all layers refuse the same requests,
+ * and upper layers can refuse them first.
  *
- * The level is set once a window from three measured quantities: the work that
- * arrived by priority number, the slot time that the window offered, and the
- * queue. Work is counted in slot time (milliseconds for which a request holds
- * a slot), so that long requests count for what they take.
- *
- * Thresholds: a window is two service times, since the effect of a level shows
- * in the queue after about one; the queue aimed at is half a service time of
- * all slots, which covers the chance variation of arrivals in a window; a
- * target is idle to a purpose when more than a twentieth of its slot time was
- * unused.
+ * Once a window the level is computed from the work that arrived by priority
+ * number, the available slot time and the queue. Work is measured in slot time
+ * (milliseconds for which a request holds a slot), so that long requests count
+ * for what they take.
  */
 import {limitChange} from './rate-of-change.js';
 
-/** Numbers for each class: class rank * 128 + share. */
-export const sharesPerClass = 128;
+/** Priority numbers of a class: class rank * 128 + share. */
+export const prioritiesPerClass = 128;
 
-/** The level that lets everything in. */
-export const highestLevel = 383;
+/** The level that admits all requests. */
+export const maxLevel = 383;
 
 /** The highest priority number of an essential request. */
-export const highestEssential = sharesPerClass - 1;
+export const maxEssentialPriority = prioritiesPerClass - 1;
 
-/** The lowest level: a twentieth of the essential band is never shut, so that the level can be learnt anew. */
-export const lowestLevel = 6;
+/**
+ * The lowest level. A twentieth of the essential band is always admitted, so
+ * that there are arrivals from which the level can recover.
+ */
+export const minLevel = 6;
 
-/** Opening may double: while slots are idle there is no queue that an overshoot could lengthen. */
-const openingBounds = {down: 1, up: 2};
-const shortestWindow = 200;
+/**
+ * The admitted work may double: while slots are idle there is no queue that an
+ * overshoot could lengthen.
+ */
+const raiseBounds = {down: 1, up: 2};
+/** Milliseconds. */
+const minWindow = 200;
+/** A window is two service times, because a level affects the queue after about one. */
 const windowServiceTimes = 2;
-/** The queue aimed at, in service times. */
-export const aimedQueueTime = 0.5;
-const idleShare = 0.05;
-/** The most by which the level rises in a window: half a class. */
-const highestRise = sharesPerClass / 2;
-/** The weight of a window in the demand up to the level. */
-const newShare = 0.5;
-/** What is kept a window of the demand known above the level: half after about three seconds, and after less than one while slots are idle. */
-const keptAbove = 0.95;
-const keptAboveIdle = 0.8;
-
-/** The state of one target's level. */
+/**
+ * The desired queue, in service times of all slots. Half a service time covers
+ * the random variation of arrivals in a window.
+ */
+export const desiredQueueTime = 0.5;
+/** The unused ratio of slot time above which the target counts as idle. */
+const idleThreshold = 0.05;
+/** The maximum rise of the level in a window: half a class. */
+const maxRise = prioritiesPerClass / 2;
+/** The weight of a window in the average demand up to the level. */
+const demandWeight = 0.5;
+/**
+ * Decay per window of the recorded demand above the level: half is left after
+ * about three seconds, or after less than one while slots are idle.
+ */
+const decayAboveLevel = 0.95;
+const decayAboveLevelIdle = 0.8;
+
+/** The level of one target. */
 export type AdmissionLevel = {
 	level: number;
 	/** Slot time that arrived in this window, by priority number. */
 	arrived: Float64Array;
-	/** Slot time that arrives a millisecond, by priority number. */
+	/** Slot time that arrives per millisecond, by priority number. */
 	demand: Float64Array;
-	/** Windows that `demand` was learnt from. */
+	/** Number of windows in `demand`. */
 	windows: number;
 	windowStart: number;
-	/** Slot time used in this window, and until when it is counted. */
+	/** Slot time used in this window, and the time up to which it is counted. */
 	used: number;
 	countedUntil: number;
-	/** Refused in the window, and before it, for the come-back time. */
+	/** Requests refused in this window and in the last one, for the retry-after time. */
 	refused: number;
-	refusedBefore: number;
+	refusedInLastWindow: number;
 };
 
-/** What the target looks like when a window closes. */
+/** The state of the target at the end of a window. */
 export type TargetState = {
-	/** Slots in force. */
+	/** The current concurrency limit, in slots. */
 	limit: number;
-	/** What waits. */
+	/** The waiting requests. */
 	waiting: Iterable<{priority: number; slotTime: number}>;
-	/** The average service time. */
+	/** The average service time, in milliseconds. */
 	serviceTime: number;
 };
 
-/** Creates an open level. */
+/** Creates a level that admits all requests. */
 export function createAdmissionLevel(now: number): AdmissionLevel {
 	return {
-		level: highestLevel,
-		arrived: new Float64Array(highestLevel + 1),
-		demand: new Float64Array(highestLevel + 1),
+		level: maxLevel,
+		arrived: new Float64Array(maxLevel + 1),
+		demand: new Float64Array(maxLevel + 1),
 		windows: 0,
 		windowStart: now,
 		used: 0,
 		countedUntil: now,
 		refused: 0,
-		refusedBefore: 0,
+		refusedInLastWindow: 0,
 	};
 }
 
-/** Counts the slot time used since the last call; to be called before the requests in flight change. */
-export function countUse(
+/**
+ * Records the slot time used since the last call. Must be called before the
+ * number of requests in flight changes.
+ */
+export function recordSlotTime(
 	state: AdmissionLevel,
 	inFlight: number,
 	now: number,
@@ -102,8 +114,8 @@
 	state.countedUntil = now;
 }
 
-/** Counts an arrival with the slot time that it will take. */
-export function noteArrival(
+/** Records an arrival with its expected slot time. */
+export function recordArrival(
 	state: AdmissionLevel,
 	priority: number,
 	slotTime: number,
@@ -111,21 +123,21 @@
 	state.arrived[priority]! += slotTime;
 }
 
-/** Whether the window is over; cheap enough for every call. */
+/** Whether the window is over; called for every request. */
 export function isWindowOver(
 	state: AdmissionLevel,
 	serviceTime: number,
 	now: number,
 ): boolean {
-	return now - state.windowStart >= levelWindow(serviceTime);
+	return now - state.windowStart >= windowLength(serviceTime);
 }
 
 /** The length of a window in milliseconds. */
-export function levelWindow(serviceTime: number): number {
-	return Math.max(shortestWindow, windowServiceTimes * serviceTime);
+export function windowLength(serviceTime: number): number {
+	return Math.max(minWindow, windowServiceTimes * serviceTime);
 }
 
-/** Sets the level for the next window. */
+/** Computes the level of the next window. */
 export function closeLevelWindow(
 	state: AdmissionLevel,
 	target: TargetState,
@@ -133,79 +145,81 @@
 ): void {
 	const elapsed = now - state.windowStart;
 	const idle = 1 - state.used / (target.limit * elapsed);
-	learnDemand(state, elapsed, idle > idleShare);
+	updateDemand(state, elapsed, idle > idleThreshold);
 	state.level =
-		idle > idleShare
-			? openLevel(state, idle)
-			: fitLevel(state, target, elapsed);
+		idle > idleThreshold
+			? levelForIdleSlots(state, idle)
+			: levelForSaturation(state, target, elapsed);
 	state.arrived.fill(0);
 	state.windowStart = now;
 	state.used = 0;
-	state.refusedBefore = state.refused;
+	state.refusedInLastWindow = state.refused;
 	state.refused = 0;
 }
 
 /**
- * Up to the level all demand arrives here. Above it the layers above refuse,
- * so that few arrivals there don't mean little demand: what was seen when the
- * level was higher is forgotten slowly, faster while slots are idle.
+ * Updates the average demand. All demand up to the level arrives here, but
+ * upper layers refuse requests above it, so few arrivals there don't mean
+ * little demand. The demand recorded while the level was higher therefore
+ * decays slowly, and faster while slots are idle.
  */
-function learnDemand(
+function updateDemand(
 	state: AdmissionLevel,
 	elapsed: number,
 	isIdle: boolean,
 ): void {
 	const {arrived, demand, level} = state;
-	const kept = isIdle ? keptAboveIdle : keptAbove;
-	const share = Math.max(newShare, 1 / ++state.windows);
-	for (let number = 0; number <= highestLevel; number++) {
-		const known = demand[number]!;
-		const moved = known + (arrived[number]! / elapsed - known) * share;
-		demand[number] = number <= level ? moved : Math.max(moved, known * kept);
+	const decay = isIdle ? decayAboveLevelIdle : decayAboveLevel;
+	const share = Math.max(demandWeight, 1 / ++state.windows);
+	for (let number = 0; number <= maxLevel; number++) {
+		const previous = demand[number]!;
+		const averaged = previous + (arrived[number]! / elapsed - previous) * share;
+		demand[number] =
+			number <= level ? averaged : Math.max(averaged, previous * decay);
 	}
 }
 
-/** The level that lets in as much more as slots were idle. */
-function openLevel(state: AdmissionLevel, idle: number): number {
+/** The level that admits as much more work as the idle slots can run. */
+function levelForIdleSlots(state: AdmissionLevel, idle: number): number {
 	const admitted = sumUpTo(state.demand, state.level);
-	const wanted = limitChange(
+	const allowed = limitChange(
 		admitted,
 		admitted / (1 - Math.min(idle, 0.9)),
-		openingBounds,
+		raiseBounds,
 	);
-	return raise(state, wanted - admitted);
+	return raiseLevel(state, allowed - admitted);
 }
 
-/** The level up to which what waits and what will arrive fills the slots and the aimed queue. */
-function fitLevel(
+/** The level at which waiting and expected requests fill the slots and the desired queue. */
+function levelForSaturation(
 	state: AdmissionLevel,
 	{limit, serviceTime, waiting}: TargetState,
 	elapsed: number,
 ): number {
-	const aimed = aimedQueueTime * limit * serviceTime;
-	const queued = new Float64Array(highestLevel + 1);
+	const desiredQueue = desiredQueueTime * limit * serviceTime;
+	const queued = new Float64Array(maxLevel + 1);
 	for (const {priority, slotTime} of waiting) {
 		queued[priority]! += slotTime;
 	}
 
 	const queuedSum = sumUpTo(queued, state.level);
 	const admitted = sumUpTo(state.demand, state.level);
-	const spare = limit * elapsed + aimed - queuedSum - admitted * elapsed;
+	const spare = limit * elapsed + desiredQueue - queuedSum - admitted * elapsed;
 	if (spare >= 0) {
-		return raise(state, spare / elapsed);
+		return raiseLevel(state, spare / elapsed);
 	}
 
-	if (queuedSum < aimed / 2) {
+	if (queuedSum < desiredQueue / 2) {
 		return state.level;
 	}
 
-	const least = limitChange(admitted, 0) * elapsed;
-	const wanted = Math.max(least, limit * elapsed + aimed);
+	const minAdmitted = limitChange(admitted, 0) * elapsed;
+	const allowed = Math.max(minAdmitted, limit * elapsed + desiredQueue);
 	let sum = 0;
 	for (let number = 0; number <= state.level; number++) {
 		sum += state.demand[number]! * elapsed + queued[number]!;
-		if (sum > wanted) {
-			return Math.max(lowestLevel, number - 1);
+		if (sum > allowed) {
+			return Math.max(minLevel, number - 1);
 		}
 	}
 
@@ -213,16 +227,17 @@
 }
 
 /**
- * Raises the level until so much more a millisecond is let in. A number of
- * which nothing is known counts for the average of the numbers below.
+ * Raises the level until the additional demand reaches `more`, in slot time
+ * per millisecond. A number without recorded demand counts as the average of
+ * the numbers below the level.
  */
-function raise(state: AdmissionLevel, more: number): number {
-	if (state.level >= highestLevel || more <= 0) {
+function raiseLevel(state: AdmissionLevel, more: number): number {
+	if (state.level >= maxLevel || more <= 0) {
 		return state.level;
 	}
 
 	const density = sumUpTo(state.demand, state.level) / (state.level + 1);
-	const last = Math.min(highestLevel, state.level + highestRise);
+	const last = Math.min(maxLevel, state.level + maxRise);
 	let sum = 0;
 	for (let number = state.level + 1; number <= last; number++) {
 		sum += Math.max(density, state.demand[number]!);
--- a/packages/decisions/src/operation-durations.ts
+++ b/packages/decisions/src/operation-durations.ts
@@ -1,88 +1,102 @@
 /**
- * Durations by operation, learnt from how requests ended.
+ * Average durations by operation, from requests that ended.
  *
- * The moving averages forget after `latelySpan` and `usualSpan` ends: the
- * first is short enough to follow a slowdown within one round of the slots,
- * the second long enough to tell what is usual. The table is bounded, since an
- * operation's name comes from outside.
+ * The moving averages span `recentSpan` and `longTermSpan` requests: the first
+ * follows a slowdown within one round of the slots, the second provides the
+ * long-term duration for comparison. The table is bounded because operation
+ * names come from outside.
  */
-import {moveAverage} from './rate-of-change.js';
+import {updateAverage} from './rate-of-change.js';
 
-const latelySpan = 16;
-const usualSpan = 512;
-/** Operations remembered; a service has tens, not hundreds. */
+const recentSpan = 16;
+const longTermSpan = 512;
+/** Maximum number of operations in the table; a service has tens, not hundreds. */
 const operationLimit = 256;
 
 type OperationDuration = {
-	lately: number;
-	usual: number;
+	recent: number;
+	longTerm: number;
 	count: number;
 	running: number;
 };
 
-/** What is known of durations, in milliseconds. */
+/** The recorded durations, in milliseconds. */
 export type OperationDurations = {
 	byOperation: Map<string, OperationDuration>;
-	/** The average over all operations, as they came. */
+	/** The average over all requests, whatever their operation. */
 	average: number;
-	/** The average of the logarithm: the typical duration, which a few long ones don't move. */
+	/**
+	 * The average of the logarithm, for the typical duration; a few long
+	 * requests hardly change it.
+	 */
 	typicalLog: number;
 	count: number;
 };
 
-/** Creates the state in which nothing is known. */
+/** Creates a table without durations. */
 export function createOperationDurations(): OperationDurations {
 	return {byOperation: new Map(), average: 0, typicalLog: 0, count: 0};
 }
 
-/** Learns a duration. One that was cut short says only that it is no shorter. */
-export function learnDuration(
+/**
+ * Records a duration. An incomplete one, of a request that was cut short, is
+ * only a lower bound.
+ */
+export function recordDuration(
 	state: OperationDurations,
 	operation: string,
 	duration: number,
-	isWhole: boolean,
+	isComplete: boolean,
 ): void {
-	const known = findOrAdd(state, operation);
-	const value = isWhole ? duration : Math.max(duration, known.lately);
-	known.count++;
-	known.lately = moveAverage(known.lately, value, known.count, latelySpan);
-	known.usual = moveAverage(known.usual, value, known.count, usualSpan);
+	const entry = findOrAdd(state, operation);
+	const value = isComplete ? duration : Math.max(duration, entry.recent);
+	entry.count++;
+	entry.recent = updateAverage(entry.recent, value, entry.count, recentSpan);
+	entry.longTerm = updateAverage(
+		entry.longTerm,
+		value,
+		entry.count,
+		longTermSpan,
+	);
 	state.count++;
-	state.average = moveAverage(
+	state.average = updateAverage(
 		state.average,
 		value,
 		state.count,
-		2 * latelySpan,
+		2 * recentSpan,
 	);
-	state.typicalLog = moveAverage(
+	state.typicalLog = updateAverage(
 		state.typicalLog,
 		Math.log(Math.max(value, 0.01)),
 		state.count,
-		usualSpan,
+		longTermSpan,
 	);
 }
 
-/** The expected duration; that of all operations when this one is new; 0 when nothing is known. */
-export function expectDuration(
+/**
+ * The expected duration; the average of all operations when this one is new; 0
+ * when no duration is recorded.
+ */
+export function expectedDuration(
 	state: OperationDurations,
 	operation: string,
 ): number {
-	return state.byOperation.get(operation)?.lately ?? state.average;
+	return state.byOperation.get(operation)?.recent ?? state.average;
 }
 
 /**
- * What the duration would have been for the operation that was learnt first,
- * so that a different mix of operations doesn't look like a slower target.
+ * Scales a duration to the operation that was recorded first, so that a
+ * different mix of operations doesn't look like a slower target.
  */
 export function scaleToReference(
 	state: OperationDurations,
 	operation: string,
 	duration: number,
 ): number {
-	const own = state.byOperation.get(operation)?.usual ?? 0;
+	const own = state.byOperation.get(operation)?.longTerm ?? 0;
 	const [reference] = state.byOperation.values();
-	return own > 0 && reference && reference.usual > 0
-		? (duration * reference.usual) / own
+	return own > 0 && reference && reference.longTerm > 0
+		? (duration * reference.longTerm) / own
 		: duration;
 }
 
@@ -91,18 +105,18 @@
 	return state.count === 0 ? 0 : Math.exp(state.typicalLog);
 }
 
-/** Counts a request of the operation as running or ended. */
+/** Records a request of the operation as running (1) or ended (-1). */
 export function countRunning(
 	state: OperationDurations,
 	operation: string,
 	change: 1 | -1,
 ): void {
-	const known = findOrAdd(state, operation);
-	known.running = Math.max(0, known.running + change);
+	const entry = findOrAdd(state, operation);
+	entry.running = Math.max(0, entry.running + change);
 }
 
-/** How many requests of the operation run now. */
-export function runningOf(
+/** The number of running requests of the operation. */
+export function runningCountOf(
 	state: OperationDurations,
 	operation: string,
 ): number {
@@ -113,18 +127,18 @@
 	state: OperationDurations,
 	operation: string,
 ): OperationDuration {
-	const known = state.byOperation.get(operation);
-	if (known) {
-		return known;
+	const entry = state.byOperation.get(operation);
+	if (entry) {
+		return entry;
 	}
 
 	if (state.byOperation.size >= operationLimit) {
-		forgetIdle(state);
+		evictIdle(state);
 	}
 
 	const added = {
-		lately: state.average,
-		usual: state.average,
+		recent: state.average,
+		longTerm: state.average,
 		count: 0,
 		running: 0,
 	};
@@ -135,8 +149,8 @@
 	return added;
 }
 
-/** Forgets the operation that was learnt first and isn't running. */
-function forgetIdle({byOperation}: OperationDurations): void {
+/** Removes the oldest operation that isn't running. */
+function evictIdle({byOperation}: OperationDurations): void {
 	for (const [operation, {running}] of byOperation) {
 		if (running === 0) {
 			byOperation.delete(operation);
--- a/packages/decisions/src/slot-table.ts
+++ b/packages/decisions/src/slot-table.ts
@@ -1,34 +1,34 @@
 /**
- * The slots of one target: what runs in them, how many may, and what is learnt
- * from each end.
+ * The slots of one target: the running requests, their limit, and the
+ * statistics updated when a request ends.
  */
 import {
 	createConcurrencyLimit,
-	noteFull,
-	noteLatency,
-	noteShed,
+	recordFull,
+	recordLatency,
+	recordShed,
 } from './concurrency-limit.js';
 import type {AdmissionOptions} from './admission-options.js';
-import {beginChain, endChain} from './levels-below.js';
+import {beginChain, endChain} from './downstream-levels.js';
 import {
 	averageSlots,
 	countSlot,
-	createLongAmongShort,
+	createSlotUsage,
 	mayRunLong,
-} from './long-among-short.js';
+} from './long-operation-limit.js';
 import {
 	countRunning,
 	createOperationDurations,
-	learnDuration,
+	recordDuration,
 	scaleToReference,
 	type OperationDurations,
 } from './operation-durations.js';
 import type {AdmissionContext, CallFacts, Completion} from './policy.js';
 
-/** What the slots need to know of a request. */
+/** The request attributes that the slots use. */
 export type SlotEntry = {
 	call: CallFacts;
-	/** Its class. */
+	/** The rank of its class. */
 	rank: number;
 	isLong: boolean;
 	priority: number;
@@ -37,21 +37,27 @@
 /** The slots of one target. */
 export type SlotTable = {
 	durations: OperationDurations;
-	/** Slots in force. */
+	/** The current concurrency limit, in slots. */
 	limit(): number;
 	running(): number;
 	isFree(): boolean;
-	/** Whether one more long request of the class may have a slot. */
-	mayRunLong(rank: number, shortWaiting: (rank: number) => number): boolean;
-	/** To be called before anything changes at an instant. */
+	/** Whether one more long request of the class may get a slot. */
+	mayRunLong(
+		rank: number,
+		shortWaitingCount: (rank: number) => number,
+	): boolean;
+	/** Updates the averages to the current time. Must be called before requests begin or end. */
 	advance(now: number): void;
 	begin(entry: SlotEntry): void;
-	/** The request that has ended; undefined when no such request runs. */
+	/** Frees the slot and returns the request that has ended; undefined when no such request runs. */
 	end(id: string, completion: Completion): CallFacts | undefined;
 };
 
-/** Whether an end tells how long the operation takes, or only that it is no shorter. */
-const isWholeDuration: Partial<Record<Completion['result'], boolean>> = {
+/**
+ * Whether the duration of a result is complete or only a lower bound; other
+ * results have no usable duration.
+ */
+const isCompleteDuration: Partial<Record<Completion['result'], boolean>> = {
 	ok: true,
 	timeout: false,
 	cancelled: false,
@@ -59,30 +65,30 @@
 
 /** Creates idle slots. */
 export function createSlotTable(
-	{slots, below}: AdmissionContext,
+	{slots, downstreamLevels}: AdmissionContext,
 	options: AdmissionOptions,
 ): SlotTable {
 	const durations = createOperationDurations();
 	const limit = createConcurrencyLimit(slots);
 	const entries = new Map<string, SlotEntry>();
-	let counts: ReturnType<typeof createLongAmongShort> | undefined;
+	let usage: ReturnType<typeof createSlotUsage> | undefined;
 
 	const learn = ({operation}: CallFacts, {duration, result}: Completion) => {
 		if (result === 'ok') {
-			noteLatency(limit, scaleToReference(durations, operation, duration));
+			recordLatency(limit, scaleToReference(durations, operation, duration));
 		} else if (result === 'shed') {
-			noteShed(limit, entries.size + 1);
+			recordShed(limit, entries.size + 1);
 		}
 
-		const isWhole = isWholeDuration[result];
-		if (isWhole !== undefined) {
-			learnDuration(durations, operation, duration, isWhole);
+		const isComplete = isCompleteDuration[result];
+		if (isComplete !== undefined) {
+			recordDuration(durations, operation, duration, isComplete);
 		}
 	};
 
 	const count = ({call, rank, isLong}: SlotEntry, change: 1 | -1) => {
-		if (counts) {
-			countSlot(counts, rank, isLong, change);
+		if (usage) {
+			countSlot(usage, rank, isLong, change);
 		}
 
 		countRunning(durations, call.operation, change);
@@ -93,23 +99,28 @@
 		limit: () => options.limitOf(limit),
 		running: () => entries.size,
 		isFree: () => entries.size < options.limitOf(limit),
-		mayRunLong: (rank, shortWaiting) =>
-			counts === undefined ||
-			mayRunLong(counts, rank, options.limitOf(limit), shortWaiting),
+		mayRunLong: (rank, shortWaitingCount) =>
+			usage === undefined ||
+			mayRunLong(usage, rank, options.limitOf(limit), shortWaitingCount),
 		advance(now) {
-			counts ??= createLongAmongShort(now);
-			averageSlots(counts, now);
+			usage ??= createSlotUsage(now);
+			averageSlots(usage, now);
 		},
 		begin(entry) {
 			const {call, priority} = entry;
 			entries.set(call.id, entry);
 			count(entry, 1);
 			if (entries.size >= options.limitOf(limit)) {
-				noteFull(limit);
+				recordFull(limit);
 			}
 
-			if (below) {
-				beginChain(below, call.chain ?? call.id, call.operation, priority);
+			if (downstreamLevels) {
+				beginChain(
+					downstreamLevels,
+					call.chain ?? call.id,
+					call.operation,
+					priority,
+				);
 			}
 		},
 		end(id, completion) {
@@ -121,8 +132,8 @@
 			entries.delete(id);
 			count(entry, -1);
 			learn(entry.call, completion);
-			if (below) {
-				endChain(below, entry.call.chain ?? id);
+			if (downstreamLevels) {
+				endChain(downstreamLevels, entry.call.chain ?? id);
 			}
 
 			return entry.call;
--- a/packages/decisions/src/target-choice.ts
+++ b/packages/decisions/src/target-choice.ts
@@ -1,4 +1,4 @@
-/** The choice of a target: the modules of routing, in their order. */
+/** Chooses a target: applies the routing modules in their order. */
 import type {Random} from '@egretspoke/shared';
 import {hasConnection} from './connection-limit.js';
 import {isDueForProbe, isEjected, isPanic} from './ejection.js';
@@ -16,7 +16,7 @@
 	type Suitability,
 } from './two-choices.js';
 
-/** The choice's behaviour, by what is switched on. */
+/** The mechanisms of the choice that are switched on. */
 export type ChoiceOptions = {
 	hasTwoChoices: boolean;
 	hasLocality: boolean;
@@ -24,46 +24,46 @@
 	hasEjection: boolean;
 };
 
-/** What is to be chosen for. */
+/** The request that needs a target. */
 export type ChoiceRequest = {
 	call: CallFacts;
-	/** Nodes that have refused the request. */
+	/** Nodes that have already refused the request. */
 	exclude: string[];
 	random: Random;
 	now: number;
 };
 
-/** A chosen target and why. */
+/** A chosen target and the reason. */
 export type TargetChoice = {view: TargetView; reason: string};
 
-/** Reads the context's switches once. */
+/** Reads the switched-off mechanisms once. */
 export function createChoiceOptions(
 	without: ReadonlySet<Mechanism> | undefined,
 ): ChoiceOptions {
-	const isOn = (mechanism: Mechanism) => !without?.has(mechanism);
+	const isEnabled = (mechanism: Mechanism) => !without?.has(mechanism);
 	return {
-		hasTwoChoices: isOn('two-choices'),
-		hasLocality: isOn('locality'),
-		hasSlowStart: isOn('slow-start'),
-		hasEjection: isOn('ejection'),
+		hasTwoChoices: isEnabled('two-choices'),
+		hasLocality: isEnabled('locality'),
+		hasSlowStart: isEnabled('slow-start'),
+		hasEjection: isEnabled('ejection'),
 	};
 }
 
-/** Chooses; undefined when no target may be chosen. */
+/** Chooses a target; returns undefined when none is available. */
 export function chooseTarget(
 	group: RoutingGroup,
 	options: ChoiceOptions,
 	{call, exclude, random, now}: ChoiceRequest,
 ): TargetChoice | undefined {
-	const isOpen = (view: TargetView) =>
+	const isAvailable = (view: TargetView) =>
 		hasConnection(view) && !exclude.includes(view.candidate.node);
-	const counts = options.hasEjection && !isPanic(group);
+	const appliesEjections = options.hasEjection && !isPanic(group);
 	const mayChoose = (view: TargetView) =>
-		isOpen(view) &&
-		!(counts && isEjected(view, now)) &&
+		isAvailable(view) &&
+		!(appliesEjections && isEjected(view, now)) &&
 		(!options.hasSlowStart || mayStart(view, now));
 	if (!options.hasTwoChoices) {
-		return drawAny(group, mayChoose, isOpen, random);
+		return drawAny(group, mayChoose, isAvailable, random);
 	}
 
 	const draw = (mayDraw: (view: TargetView) => boolean) =>
@@ -72,28 +72,32 @@
 			: drawTwo(group.views, mayDraw, random);
 	let [first, second] = draw(mayChoose);
 	if (!first) {
-		// A group that has just been started, or stands out as a whole, still serves.
-		[first, second] = draw(isOpen);
+		// A group that has just started, or is ejected as a whole, still serves
+		// requests.
+		[first, second] = draw(isAvailable);
 	}
 
 	if (!first) {
-		return drawAny(group, mayChoose, isOpen, random);
+		return drawAny(group, mayChoose, isAvailable, random);
 	}
 
-	if (counts && call.requestClass !== 'essential') {
+	if (appliesEjections && call.requestClass !== 'essential') {
 		const probed = [first, second].find(
 			(view) => view && isDueForProbe(view, now),
 		);
 		if (probed) {
 			return {
 				view: probed,
-				reason: `${probed.candidate.node} is tried again after its ejection`,
+				reason: `${probed.candidate.node} is probed after its ejection`,
 			};
 		}
 	}
 
 	if (!second) {
-		return {view: first, reason: `${first.candidate.node} is the only one`};
+		return {
+			view: first,
+			reason: `${first.candidate.node} is the only available target`,
+		};
 	}
 
 	const typical = typicalOf(group.durations, call.operation);
@@ -105,6 +109,7 @@
 		: {view: second, reason: explain(second, secondRate, first, firstRate)};
 }
 
+/** The reason for the log, with tier and cost of both targets. */
 function explain(
 	chosen: TargetView,
 	rate: Suitability,
@@ -118,7 +123,7 @@
 	return `${tier}/${Math.round(cost * 100)}`;
 }
 
-/** Two local targets while one has room, else a local and a remote one. */
+/** Draws two local targets while one of them has room, otherwise two of all targets. */
 function drawLocalFirst(
 	group: RoutingGroup,
 	mayChoose: (view: TargetView) => boolean,
@@ -130,24 +135,25 @@
 		return drawn;
 	}
 
-	// Without room here, all targets are drawn alike, so that no remote one gets more than its share.
+	// Without local room all targets are drawn alike, so that no remote one gets
+	// more than its share.
 	return drawTwo(group.views, mayChoose, random);
 }
 
 function drawAny(
 	group: RoutingGroup,
 	mayChoose: (view: TargetView) => boolean,
-	isOpen: (view: TargetView) => boolean,
+	isAvailable: (view: TargetView) => boolean,
 	random: Random,
 ): TargetChoice | undefined {
 	const active =
 		drawOne(group.views, mayChoose, random) ??
-		drawOne(group.views, isOpen, random);
-	const view = active ?? drawOne(group.suspect, isOpen, random);
+		drawOne(group.views, isAvailable, random);
+	const view = active ?? drawOne(group.suspect, isAvailable, random);
 	return (
 		view && {
 			view,
-			reason: `${view.candidate.node} of ${active ? group.views.length : group.suspect.length}`,
+			reason: `${view.candidate.node} was drawn from ${active ? group.views.length : group.suspect.length} targets`,
 		}
 	);
 }
