--- a/packages/control/src/catch-up.ts
+++ b/packages/control/src/catch-up.ts
@@ -1,31 +1,30 @@
 /**
- * What a node does when members that were gone come back, as when the links
- * of a data centre are mended.
+ * Resynchronizes membership when many gone members rejoin, as after a partition
+ * between data centres heals.
  *
- * What goes wrong without it: every returning member refutes its end, and the
- * refutations spread a few a message; at 96 nodes the data centres were not
- * whole again within 20 s. One notices requests refused in one data centre
- * while another has free targets. Asking once for all members, after the
- * refutations were made, costs one large message and settles it.
+ * Otherwise every rejoining member refutes its own end, and the refutations
+ * spread a few per message: at 96 nodes, views had not converged after 20 s, and
+ * one data centre refused requests while another had free targets. One request
+ * for all members after the refutations costs one large message instead.
  *
- * It is for many returns only. A single member that was slow for a moment
- * would otherwise have every node ask for all members: at 570 nodes that took
- * 100 KB a second of the busiest one.
+ * A few rejoins do not trigger it. A single member that was slow for a moment
+ * would make every node request all members: at 570 nodes that took 100 KB a
+ * second of the busiest one.
  */
 import type {Member} from '@egretspoke/protocol';
 import {sample, type Clock, type Random} from '@egretspoke/shared';
-import {newsLimits, type MembershipTiming} from './membership-timing.js';
+import {gossipLimits, type MembershipTiming} from './membership-timing.js';
 
-/** Notes returns and acts on them. */
+/** Tracks rejoins and resynchronizes after many of them. */
 export type CatchUp = {
-	/** A member came back. */
-	note(member: Member): void;
-	/** To be called often; does what is due. */
-	act(): Promise<void>;
+	/** Records that a gone member has rejoined. */
+	recordRejoin(member: Member): void;
+	/** Syncs if it is due, else probes a gone member while rejoins are recent; to be called often. */
+	runDue(): Promise<void>;
 };
 
-/** Returns within a pause that don't fit into the news of one message. */
-const manyReturns = newsLimits.probe;
+/** More rejoins than fit into one message trigger a full sync. */
+const maxRejoinsWithoutSync = gossipLimits.probe;
 
 /** Creates the catch-up of one node. */
 export function createCatchUp(options: {
@@ -33,16 +32,24 @@
 	random: Random;
 	timing: MembershipTiming;
 	present: () => Member[];
-	/** When all members were last asked for. */
-	lastJoin: () => number;
+	/** When all members were last requested, in milliseconds of the clock. */
+	lastFullSyncAt: () => number;
 	join: (addresses: string[]) => Promise<unknown>;
-	reachLost: () => Promise<void>;
+	probeGoneMember: () => Promise<void>;
 }): CatchUp {
-	const {clock, random, timing, present, lastJoin, join, reachLost} = options;
-	let firstReturn = Number.NEGATIVE_INFINITY;
-	let returns = new Map<string, Member>();
+	const {
+		clock,
+		random,
+		timing,
+		present,
+		lastFullSyncAt,
+		join,
+		probeGoneMember,
+	} = options;
+	let firstRejoinAt = Number.NEGATIVE_INFINITY;
+	let rejoined = new Map<string, Member>();
 
-	const askOneOf = async (members: Member[]) => {
+	const syncWithOneOf = async (members: Member[]) => {
 		const dataCentres = new Set(members.map(({dataCentre}) => dataCentre));
 		const candidates = present().filter(({dataCentre}) =>
 			dataCentres.has(dataCentre),
@@ -54,36 +61,39 @@
 	};
 
 	const pause = () =>
-		Math.max(timing.returnPause, present().length * timing.returnPauseEach);
+		Math.max(
+			timing.minRejoinSyncInterval,
+			present().length * timing.minRejoinSyncIntervalPerMember,
+		);
 
 	return {
-		note(member) {
-			if (returns.size === 0) {
-				firstReturn = clock.now();
+		recordRejoin(member) {
+			if (rejoined.size === 0) {
+				firstRejoinAt = clock.now();
 			}
 
-			returns.set(member.node, member);
+			rejoined.set(member.node, member);
 		},
-		async act() {
-			if (returns.size === 0) {
+		async runDue() {
+			if (rejoined.size === 0) {
 				return;
 			}
 
 			const now = clock.now();
-			const delay = timing.returnDelay * (1 + random.fraction());
-			const at = Math.max(firstReturn + delay, lastJoin() + pause());
-			if (returns.size > manyReturns && now >= at) {
-				const returned = [...returns.values()];
-				returns = new Map();
-				await askOneOf(returned);
+			const delay = timing.rejoinSyncDelay * (1 + random.fraction());
+			const at = Math.max(firstRejoinAt + delay, lastFullSyncAt() + pause());
+			if (rejoined.size > maxRejoinsWithoutSync && now >= at) {
+				const returned = [...rejoined.values()];
+				rejoined = new Map();
+				await syncWithOneOf(returned);
 				return;
 			}
 
-			if (now - firstReturn > timing.returnPause) {
-				returns = new Map();
+			if (now - firstRejoinAt > timing.minRejoinSyncInterval) {
+				rejoined = new Map();
 			}
 
-			await reachLost();
+			await probeGoneMember();
 		},
 	};
 }
--- a/packages/control/src/control.ts
+++ b/packages/control/src/control.ts
@@ -1,4 +1,4 @@
-/** Control of one node, wired together: configuration, membership, operators. */
+/** Control of one node: configuration, membership and the functions for operators. */
 import {isDeepStrictEqual} from 'node:util';
 import type {
 	AcknowledgementMessage,
@@ -31,70 +31,79 @@
 import type {SendProbe} from './probe-exchange.js';
 import {createSeedRows} from './seed-rows.js';
 
-/** What control needs of its node. */
+/** Dependencies and settings of control. */
 export type ControlOptions = {
-	/** The own record at the start: state `joining`, version 0, heartbeat 0. */
+	/** The initial own record: state `joining`, version 0, heartbeat 0. */
 	self: Member;
 	platform: Platform;
 	clock: Clock;
 	random: Random;
 	/** Sends a probe to a peer listener. */
 	send: SendProbe;
-	/** Sends `configurationRequest` to a peer listener; undefined when no body came. */
-	requestBody: (address: string) => Promise<ConfigurationBody | undefined>;
-	/** Peer addresses from the settings; they help a start without the platform. */
+	/** Sends `configurationRequest` to a peer listener; undefined when it returns no body. */
+	fetchConfiguration: (
+		address: string,
+	) => Promise<ConfigurationBody | undefined>;
+	/** Seed addresses from the settings, for a start without the platform. */
 	peers?: string[];
 	timing?: Partial<MembershipTiming>;
-	/** Milliseconds between reads of the head row. */
-	readPeriod?: number;
-	/** Only tests take others than the defaults. */
+	/** Interval between reads of the head row, in milliseconds. */
+	readInterval?: number;
+	/** Replaced in tests only. */
 	acceptance?: AcceptanceRule;
 	isNewer?: MergeRule;
 };
 
-/** Control as its node uses it. */
+/** Control as the rest of the node uses it. */
 export type Control = OperatorService & {
 	configuration: ConfigurationWatch;
 	membership: MembershipService;
-	/** Answers a probe that came in. */
+	/** Applies a received probe and returns its acknowledgement. */
 	receiveProbe(probe: ProbeMessage): AcknowledgementMessage;
-	/** The target beside the node announced itself, or ended; repeats tell nobody. */
+	/** Announces the local target, or its end; an unchanged announcement sends nothing. */
 	announceTarget(target: TargetAnnouncement | undefined): void;
-	/** The target takes no new work from now on; told to all at once. */
+	/** Announces at once that the target takes no new work. */
 	leave(): void;
 	/**
-	 * Learns members and configuration, then says `active`; resolves then. It
-	 * goes on working until the signal aborts, and never rejects.
+	 * Loads members and configuration, announces `active` and resolves. The
+	 * background tasks run until the signal aborts. Never rejects.
 	 */
 	start(signal: AbortSignal): Promise<void>;
-	/** Says `gone` and takes the seed row back; to be called at the end of a drain. */
+	/** Announces `gone` and removes the seed row; to be called at the end of a drain. */
 	end(): Promise<void>;
 };
 
-/** Milliseconds between two tries of a node that knows nobody. */
-const alonePeriod = 2000;
+/** Milliseconds between two attempts to find members while none is known. */
+const isolatedDiscoveryInterval = 2000;
 
-/** Milliseconds between two looks at the seed rows otherwise. */
-const seedPeriod = 300_000;
+/** Milliseconds between two reads of the seed rows otherwise. */
+const discoveryInterval = 300_000;
 
-/** Milliseconds for which a start waits for a platform that doesn't answer. */
-const startPatience = 3000;
+/** Maximum time that a start waits for the platform and peers, in milliseconds. */
+const startTimeout = 3000;
 
-/** Creates control of one node; it sends nothing before `start`. */
+/** Creates the control of one node; sends nothing before `start`. */
 export function createControl(options: ControlOptions): Control {
-	const {platform, clock, random, send, requestBody, peers = []} = options;
+	const {
+		platform,
+		clock,
+		random,
+		send,
+		fetchConfiguration,
+		peers = [],
+	} = options;
 	const configuration = createConfigurationWatch({
 		...options,
-		...(options.readPeriod !== undefined && {period: options.readPeriod}),
+		...(options.readInterval !== undefined && {interval: options.readInterval}),
 	});
 	const membership = createMembership({
 		...options,
 		send,
-		hearVersion(version, address) {
-			const hearing = configuration.hear(version, async () =>
-				requestBody(address),
+		onPeerVersion(version, address) {
+			const fetching = configuration.receiveVersion(version, async () =>
+				fetchConfiguration(address),
 			);
-			void track(hearing);
+			void trackFetch(fetching);
 		},
 	});
 	const seeds = createSeedRows({
@@ -103,25 +112,25 @@
 		random,
 		self: membership.self,
 	});
-	const hearings = new Set<Promise<void>>();
+	const pendingFetches = new Set<Promise<void>>();
 	let isLeavingByIntent = false;
 
-	const track = async (hearing: Promise<void>) => {
-		hearings.add(hearing);
-		await hearing;
-		hearings.delete(hearing);
+	const trackFetch = async (fetching: Promise<void>) => {
+		pendingFetches.add(fetching);
+		await fetching;
+		pendingFetches.delete(fetching);
 	};
 
-	const follow = (accepted: Configuration) => {
+	const applyConfiguration = (accepted: Configuration) => {
 		const {node, state} = membership.self();
 		const intent = targetIntentOf(accepted, node);
-		const isReturn = isLeavingByIntent && intent !== 'leave';
-		const isTaking = state === 'active' || state === 'joining';
+		const isRejoin = isLeavingByIntent && intent !== 'leave';
+		const isAcceptingWork = state === 'active' || state === 'joining';
 		const {version} = accepted;
-		if (intent === 'leave' && isTaking) {
+		if (intent === 'leave' && isAcceptingWork) {
 			isLeavingByIntent = true;
 			membership.announce({state: 'leaving', configurationVersion: version});
-		} else if (isReturn && state === 'leaving') {
+		} else if (isRejoin && state === 'leaving') {
 			isLeavingByIntent = false;
 			membership.announce({state: 'active', configurationVersion: version});
 		} else {
@@ -129,37 +138,37 @@
 		}
 	};
 
-	void configuration.accepted.observe(follow);
+	void configuration.accepted.observe(applyConfiguration);
 
-	const findMembers = async () => {
+	const discoverMembers = async () => {
 		const rows = await seeds.list();
 		return membership.join([...rows, ...peers]);
 	};
 
-	/** What a start waits for, so that no older version than can be had is in force. */
+	/** A start waits for this, so that the node serves with the highest version available. */
 	const learn = async () => {
 		await Promise.all([
 			configuration.readPlatform(),
 			membership.join(peers),
-			findMembers(),
+			discoverMembers(),
 		]);
-		await Promise.all(hearings);
+		await Promise.all(pendingFetches);
 	};
 
-	const isAlone = () =>
+	const isIsolated = () =>
 		membership
 			.members()
 			.every(
 				({state, node}) => node === membership.self().node || state === 'gone',
 			);
 
-	const keepFinding = async (signal: AbortSignal) => {
+	const discoverPeriodically = async (signal: AbortSignal) => {
 		while (!signal.aborted) {
-			const wait = isAlone() ? alonePeriod : seedPeriod;
-			// eslint-disable-next-line no-await-in-loop -- one look after another.
+			const wait = isIsolated() ? isolatedDiscoveryInterval : discoveryInterval;
+			// eslint-disable-next-line no-await-in-loop -- one read after another.
 			await sleep(clock, wait * (0.8 + 0.4 * random.fraction()), signal);
-			// eslint-disable-next-line no-await-in-loop -- one look after another.
-			await findMembers();
+			// eslint-disable-next-line no-await-in-loop -- one read after another.
+			await discoverMembers();
 		}
 	};
 
@@ -181,15 +190,15 @@
 			void membership.run(signal);
 			void configuration.run(signal);
 			void seeds.run(signal);
-			void keepFinding(signal);
-			await Promise.race([learn(), sleep(clock, startPatience, signal)]);
+			void discoverPeriodically(signal);
+			await Promise.race([learn(), sleep(clock, startTimeout, signal)]);
 			if (membership.self().state === 'joining') {
 				membership.announce({state: 'active'});
 			}
 		},
 		async end() {
 			membership.announce({state: 'gone'});
-			await Promise.all([membership.spread(), seeds.remove()]);
+			await Promise.all([membership.gossip(), seeds.remove()]);
 		},
 	};
 }
--- a/packages/control/src/gossip-queue.ts
+++ b/packages/control/src/gossip-queue.ts
@@ -1,65 +1,67 @@
 /**
- * The news that a node passes on with its probes, the least told first. Each
- * message takes a bounded number, and each record is told a number of times
- * that grows with the logarithm of the members (SWIM, section 4.1), so that
- * the bytes of a message and of a change are both bounded.
+ * The queue of records that a node gossips with its probes, least-sent first.
+ * Each message carries a bounded number of records, and each record is sent a
+ * number of times that grows with the logarithm of the members (SWIM, section
+ * 4.1), so that the bytes of a message and of a change are both bounded.
  */
 
-/** Which members' records are still to be told. */
+/** The members whose records are still to be sent. */
 export type GossipQueue = {
-	/** Tells the node's record anew; urgent ones go before all others. */
+	/** Queues the node's record and resets its count; urgent ones go before all others. */
 	add(node: string, isUrgent: boolean): void;
-	/** The nodes to tell in the next message; counts them as told. */
-	take(most: number, members: number): string[];
+	/** Returns the nodes whose records go into the next message, and counts them as sent. */
+	take(maxRecords: number, members: number): string[];
 	size(): number;
 };
 
 /**
- * Times that a record is told for each doubling of the members. At 570 these
- * are 19 and 5. Five tellings by each who hears it leave out well under one
- * member in a hundred; those learn it when members exchange all they know.
- * That will do for a start or a new version, of which there may be hundreds at
- * once, and not for an end.
+ * How often a record is sent for each doubling of the number of members. At 570
+ * members these are 19 and 5 times. Five transmissions by each node that receives
+ * the record miss well under one member in a hundred; those get it with the next
+ * full sync. That is enough for a start or a new version, of which there may be
+ * hundreds at once, but not for the end of a member.
  */
-const tellings = {urgent: 2, ordinary: 0.5};
+const transmissionsPerDoubling = {urgent: 2, ordinary: 0.5};
 
-/** The least number of tellings, for a handful of members. */
-const fewestTellings = 4;
+/** Minimum number of transmissions; applies with few members. */
+const minTransmissions = 4;
 
-/** Nodes that are still to be told, in turn, and how often they were. */
-type Turns = Map<string, number>;
+/** How often the record of each queued node was sent, in queue order. */
+type TransmissionCounts = Map<string, number>;
 
 /** Creates an empty queue. */
 export function createGossipQueue(): GossipQueue {
-	const fresh = createLanes();
-	const told = createLanes();
+	const unsent = createLanes();
+	const resent = createLanes();
 
 	const remove = (node: string) => {
 		for (const lane of lanes) {
-			fresh[lane].delete(node);
-			told[lane].delete(node);
+			unsent[lane].delete(node);
+			resent[lane].delete(node);
 		}
 	};
 
 	return {
 		add(node, isUrgent) {
 			remove(node);
-			fresh[isUrgent ? 'urgent' : 'ordinary'].set(node, 0);
+			unsent[isUrgent ? 'urgent' : 'ordinary'].set(node, 0);
 		},
-		take(most, members) {
+		take(maxRecords, members) {
 			const doublings = Math.log2(members + 1);
-			const taken: Array<{node: string; times: number; lane: Lane}> = [];
+			const taken: Array<{node: string; sentCount: number; lane: Lane}> = [];
 			for (const lane of lanes) {
-				for (const {[lane]: turns} of [fresh, told]) {
-					const nodes = takeTurns(turns, most - taken.length);
-					taken.push(...nodes.map(([node, times]) => ({node, times, lane})));
+				for (const {[lane]: counts} of [unsent, resent]) {
+					const nodes = takeFirst(counts, maxRecords - taken.length);
+					taken.push(
+						...nodes.map(([node, sentCount]) => ({node, sentCount, lane})),
+					);
 				}
 			}
 
-			for (const {node, times, lane} of taken) {
-				const limit = Math.ceil(tellings[lane] * doublings);
-				if (times + 1 < Math.max(fewestTellings, limit)) {
-					told[lane].set(node, times + 1);
+			for (const {node, sentCount, lane} of taken) {
+				const limit = Math.ceil(transmissionsPerDoubling[lane] * doublings);
+				if (sentCount + 1 < Math.max(minTransmissions, limit)) {
+					resent[lane].set(node, sentCount + 1);
 				}
 			}
 
@@ -67,29 +69,32 @@
 		},
 		size: () =>
 			lanes.reduce(
-				(total, lane) => total + fresh[lane].size + told[lane].size,
+				(total, lane) => total + unsent[lane].size + resent[lane].size,
 				0,
 			),
 	};
 }
 
-/** Ends go before everything that can wait. */
+/** The priority lanes, the urgent one first. */
 const lanes = ['urgent', 'ordinary'] as const;
 
 type Lane = (typeof lanes)[number];
 
-function createLanes(): Record<Lane, Turns> {
+function createLanes(): Record<Lane, TransmissionCounts> {
 	return {
 		urgent: new Map<string, number>(),
 		ordinary: new Map<string, number>(),
 	};
 }
 
-/** Takes the first entries out; a map keeps the order of their insertion. */
-function takeTurns(turns: Turns, most: number): Array<[string, number]> {
+/** Removes and returns the first entries; a map keeps insertion order. */
+function takeFirst(
+	counts: TransmissionCounts,
+	maxCount: number,
+): Array<[string, number]> {
 	const taken: Array<[string, number]> = [];
-	for (const entry of turns) {
-		if (taken.length >= most) {
+	for (const entry of counts) {
+		if (taken.length >= maxCount) {
 			break;
 		}
 
@@ -97,7 +102,7 @@
 	}
 
 	for (const [node] of taken) {
-		turns.delete(node);
+		counts.delete(node);
 	}
 
 	return taken;
--- a/packages/control/src/intent.ts
+++ b/packages/control/src/intent.ts
@@ -1,6 +1,6 @@
 /**
- * What operators write: one service's intent, or a list of them, in YAML or
- * JSON. The reference for operators is docs/CONFIGURATION.md.
+ * Parses intent documents: one service's intent, or a list of them, in YAML or
+ * JSON. docs/CONFIGURATION.md is the reference for operators.
  */
 import {requestClassSchema} from '@egretspoke/protocol';
 import {
@@ -12,7 +12,7 @@
 import type {Result} from 'neverthrow';
 import {z} from 'zod';
 
-/** The methods that a rule may name. */
+/** The methods that a rule may match. */
 const methods = [
 	'GET',
 	'HEAD',
@@ -23,7 +23,7 @@
 	'OPTIONS',
 ] as const;
 
-const mostAttempts = 10;
+const maxAttempts = 10;
 
 const nameSchema = z
 	.string()
@@ -52,13 +52,13 @@
 
 const serviceIntentSchema = z.strictObject({
 	service: nameSchema,
-	/** Milliseconds that a first entry gives a request which states none. */
+	/** The deadline at the first entry node for a request without one, in milliseconds. */
 	deadline: createDurationSchema({least: '10ms', most: '10m'}).optional(),
-	attempts: z.number().int().min(1).max(mostAttempts).optional(),
+	attempts: z.number().int().min(1).max(maxAttempts).optional(),
 	requests: z.array(requestIntentSchema).optional(),
 	calls: z.array(nameSchema).optional(),
 	targets: z.array(targetIntentSchema).optional(),
-	/** Takes the service out of the configuration. */
+	/** Removes the service from the configuration. */
 	removed: z.literal(true).optional(),
 });
 
@@ -67,10 +67,10 @@
 	z.array(serviceIntentSchema).min(1),
 ]);
 
-/** One service's intent as written; absent keys mean the built-in defaults. */
+/** One service's intent; absent keys mean the built-in defaults. */
 export type ServiceIntent = z.output<typeof serviceIntentSchema>;
 
-/** Reads an intent document; the error holds every finding with its place. */
+/** Parses an intent document; the error contains all findings with their positions. */
 export function readIntents(source: {
 	text: string;
 	file: string;
@@ -78,49 +78,55 @@
 	return readDocument({
 		...source,
 		schema: intentDocumentSchema,
-		check: findRepeats,
+		check: findDuplicates,
 	}).map((document) => (Array.isArray(document) ? document : [document]));
 }
 
 type Path = Array<string | number>;
 type Entry = {path: Path; name: string};
 
-/** Finds what the schema can't see: entries that name the same thing twice. */
-function findRepeats(value: unknown): DocumentIssue[] {
+/** Finds duplicate entries and services that call themselves, which the schema cannot detect. */
+function findDuplicates(value: unknown): DocumentIssue[] {
 	const services = Array.isArray(value) ? (value as unknown[]) : [value];
 	const isList = Array.isArray(value);
 	const named = services.flatMap((service, index) =>
-		nameEntry(service, [...(isList ? [index] : []), 'service'], ['service']),
+		createNamedEntry(
+			service,
+			[...(isList ? [index] : []), 'service'],
+			['service'],
+		),
 	);
 	return [
-		...listRepeats(named, 'the service'),
+		...listDuplicates(named, 'the service'),
 		...services.flatMap((service, index) =>
-			findRepeatsWithin(service, isList ? [index] : []),
+			findDuplicatesWithin(service, isList ? [index] : []),
 		),
 	];
 }
 
-function findRepeatsWithin(service: unknown, base: Path): DocumentIssue[] {
-	const requests = listOf(service, 'requests').flatMap((request, index) =>
-		nameEntry(
+function findDuplicatesWithin(service: unknown, base: Path): DocumentIssue[] {
+	const requests = getList(service, 'requests').flatMap((request, index) =>
+		createNamedEntry(
 			request,
 			[...base, 'requests', index, 'match'],
 			['match', 'method'],
 			['match', 'path'],
 		),
 	);
-	const calls = listOf(service, 'calls').map((call, index) => ({
+	const calls = getList(service, 'calls').map((call, index) => ({
 		path: [...base, 'calls', index],
 		name: String(call),
 	}));
-	const targets = listOf(service, 'targets').flatMap((target, index) =>
-		nameEntry(target, [...base, 'targets', index, 'node'], ['node']),
+	const targets = getList(service, 'targets').flatMap((target, index) =>
+		createNamedEntry(target, [...base, 'targets', index, 'node'], ['node']),
+	);
+	const self = calls.filter(
+		({name}) => name === getByPath(service, ['service']),
 	);
-	const self = calls.filter(({name}) => name === lookUp(service, ['service']));
 	return [
-		...listRepeats(requests, 'the match'),
-		...listRepeats(calls, 'the call'),
-		...listRepeats(targets, 'the target'),
+		...listDuplicates(requests, 'the match'),
+		...listDuplicates(calls, 'the call'),
+		...listDuplicates(targets, 'the target'),
 		...self.map(({path, name}) => ({
 			path,
 			message: `${name} calls itself`,
@@ -129,7 +135,7 @@
 	];
 }
 
-function listRepeats(entries: Entry[], what: string): DocumentIssue[] {
+function listDuplicates(entries: Entry[], label: string): DocumentIssue[] {
 	const seen = new Set<string>();
 	return entries.flatMap(({path, name}) => {
 		if (!seen.has(name)) {
@@ -140,25 +146,29 @@
 		return [
 			{
 				path,
-				message: `${what} ${name} is given twice`,
+				message: `${label} ${name} is given twice`,
 				advice: 'expected one entry',
 			},
 		];
 	});
 }
 
-function nameEntry(value: unknown, path: Path, ...keys: string[][]): Entry[] {
-	const parts = keys.map((key) => lookUp(value, key));
+function createNamedEntry(
+	value: unknown,
+	path: Path,
+	...keys: string[][]
+): Entry[] {
+	const parts = keys.map((key) => getByPath(value, key));
 	const name = parts.filter((part) => typeof part === 'string').join(' ');
 	return name === '' ? [] : [{path, name}];
 }
 
-function listOf(value: unknown, key: string): unknown[] {
-	const list = lookUp(value, [key]);
+function getList(value: unknown, key: string): unknown[] {
+	const list = getByPath(value, [key]);
 	return Array.isArray(list) ? (list as unknown[]) : [];
 }
 
-function lookUp(value: unknown, path: string[]): unknown {
+function getByPath(value: unknown, path: string[]): unknown {
 	let current = value;
 	for (const key of path) {
 		current =
--- a/packages/control/src/membership-service.ts
+++ b/packages/control/src/membership-service.ts
@@ -1,10 +1,9 @@
 /**
- * Probes members and passes on news, on the clock. The messages go through
- * `send`; what comes in goes through `receive`.
+ * Probes members and gossips their records periodically. Outgoing messages go
+ * through `send`, incoming ones through `receive`.
  *
- * Conventions of the messages: the first record of a probe and of an
- * acknowledgement is the sender's own, and the numbers of both carry the
- * sender's configuration version.
+ * In a probe and in an acknowledgement, the first record is the sender's own,
+ * and `configurationVersion` is the version in force at the sender.
  */
 import type {
 	AcknowledgementMessage,
@@ -30,67 +29,67 @@
 } from './membership.js';
 import {
 	defaultTiming,
-	newsLimits,
-	spreadWidth,
+	gossipLimits,
+	gossipFanout,
 	type MembershipTiming,
 } from './membership-timing.js';
 import {announceChange, reincarnate, type OwnChange} from './own-record.js';
 import {createProbeExchange, type SendProbe} from './probe-exchange.js';
 import {createProbeOrder} from './probe-order.js';
 
-/** What membership needs. */
+/** Dependencies and settings of membership. */
 export type MembershipOptions = {
-	/** The node's record as it starts, usually `joining`. */
+	/** The node's initial record, usually `joining`. */
 	self: Member;
 	clock: Clock;
 	random: Random;
 	send: SendProbe;
-	/** Told of the version at the peer with each message that came in. */
-	hearVersion: (version: number, peerAddress: string) => void;
-	/** Addresses from the settings, tried as long as nobody known has them. */
+	/** Called with the configuration version of the sender of each received message. */
+	onPeerVersion: (version: number, peerAddress: string) => void;
+	/** Seed addresses from the settings; probed until a known member has the address. */
 	peers?: string[];
 	timing?: Partial<MembershipTiming>;
-	/** Only tests take another than the default. */
+	/** Replaced in tests only. */
 	isNewer?: MergeRule;
 };
 
 /** Membership as the rest of the node uses it. */
 export type MembershipService = {
-	/** Every change of a record, the node's own included. */
+	/** Every change of a record, including the node's own. */
 	changes: Stream<MemberChange>;
-	/** The length of each pause beyond the lease, in milliseconds, once it is over. */
+	/** The duration of each process pause longer than the lease, in milliseconds, emitted after it. */
 	pauses: Stream<number>;
 	/** The node's own record; its incarnation changes after a pause. */
 	self(): Member;
-	/** All known members, gone ones included, this node first. */
+	/** All known members, including gone ones; this node first. */
 	members(): Member[];
 	entries(): MemberEntry[];
-	/** True from a pause longer than the lease until the node has announced itself again. */
+	/** True after a pause longer than the lease, until the node has announced itself again. */
 	isSuspended(): boolean;
-	/** Changes the own record and tells it; changes of state are told at once. */
+	/** Changes the own record and gossips it; changes of state or target take priority. */
 	announce(change: OwnChange): void;
-	/** Answers a probe. */
+	/** Applies a probe and returns its acknowledgement. */
 	receive(probe: ProbeMessage): AcknowledgementMessage;
-	/** Asks some of these addresses for all members; the number that answered. */
+	/** Requests all members from some of these addresses; resolves with the number of responses. */
 	join(addresses: string[]): Promise<number>;
-	/** Tells some members the news now. */
-	spread(): Promise<void>;
+	/** Sends recent changes to some members without waiting for the next probe. */
+	gossip(): Promise<void>;
 	/** Probes until the signal aborts. */
 	run(signal: AbortSignal): Promise<void>;
 };
 
 /**
- * A probe that took so many timeouts says more of this node than of the other:
- * its own process was held up and the answer may lie unread (Dadgar et al.,
- * Lifeguard, 2018). Suspecting then would have starved nodes give each other up.
+ * A probe that took more than this many timeouts indicates that this process
+ * was stalled and the response may still be unread (Dadgar et al., Lifeguard,
+ * 2018). If it counted as failed, overloaded nodes would suspect each other.
  */
-const lateness = 1.5;
+const lateProbeFactor = 1.5;
 
-/** Creates membership; nothing is sent before `run`, `join` or `announce`. */
+/** Creates membership; it sends nothing before `run`, `join` or `announce`. */
 export function createMembership(
 	options: MembershipOptions,
 ): MembershipService {
-	const {clock, random, send, hearVersion, peers = []} = options;
+	const {clock, random, send, onPeerVersion, peers = []} = options;
 	const timing = {...defaultTiming, ...options.timing};
 	const view = createMemberView({...options, timing});
 	const order = createProbeOrder(random.fork());
@@ -98,55 +97,60 @@
 	const lease = createLease(clock, timing.lease);
 	let isAnnouncing = false;
 
-	const takeIn = (
+	const applyMessage = (
 		message: ProbeMessage | AcknowledgementMessage,
 		isWhole = false,
 	) => {
 		const own = view.self();
-		const changes = view.take(message.members, isWhole);
+		const changes = view.applyRecords(message.members, isWhole);
 		if (view.self() !== own) {
-			void spread();
+			void gossip();
 		}
 
 		for (const change of changes) {
-			followUp(change);
+			handleChange(change);
 		}
 
 		const [sender] = message.members;
 		if (sender) {
-			hearVersion(message.configurationVersion, sender.peerAddress);
+			onPeerVersion(message.configurationVersion, sender.peerAddress);
 		}
 	};
 
-	const followUp = ({member, before}: MemberChange) => {
+	/**
+	 * Gives a new suspect an early probe from this node with a probability that
+	 * makes about `gossipFanout` nodes probe it, and reacts to leaves and rejoins.
+	 */
+	const handleChange = ({member, before}: MemberChange) => {
 		if (member.state === 'suspect') {
-			const chance = spreadWidth / Math.max(1, view.present().length);
-			if (random.fraction() < chance) {
-				order.prefer(member.node);
+			const probability = gossipFanout / Math.max(1, view.present().length);
+			if (random.fraction() < probability) {
+				order.prioritize(member.node);
 			}
 		}
 
 		if (member.state === 'leaving' && before?.state !== 'leaving') {
-			void spread();
+			void gossip();
 		}
 
-		const isReturn =
+		const isRejoin =
 			before?.incarnation === member.incarnation &&
 			!isPresent(before) &&
 			isPresent(member);
-		if (isReturn) {
-			catchUp.note(member);
+		if (isRejoin) {
+			catchUp.recordRejoin(member);
 		}
 	};
 
-	const {exchange, spread, spreadNow, join, lastJoin} = createProbeExchange({
-		view,
-		clock,
-		random,
-		timing,
-		send,
-		takeIn,
-	});
+	const {exchange, gossip, gossipNow, join, lastFullSyncAt} =
+		createProbeExchange({
+			view,
+			clock,
+			random,
+			timing,
+			send,
+			onAcknowledgement: applyMessage,
+		});
 
 	const probeNext = async () => {
 		const node = order.next(() => view.present().map((each) => each.node));
@@ -158,16 +162,17 @@
 		const {member} = entry;
 		const startedAt = clock.now();
 		const answer = await exchange(member.peerAddress, member.node);
-		const isSelf = answer?.members[0]?.node === member.node;
-		const wasHeard = entry.heardAt > startedAt;
-		const isLate = clock.now() - startedAt > lateness * timing.probeTimeout;
-		if (!isSelf && !wasHeard && !isLate) {
+		const isFromMember = answer?.members[0]?.node === member.node;
+		const wasSeen = entry.lastSeenAt > startedAt;
+		const isLate =
+			clock.now() - startedAt > lateProbeFactor * timing.probeTimeout;
+		if (!isFromMember && !wasSeen && !isLate) {
 			view.suspect(member.node);
 		}
 	};
 
-	/** Addresses of the settings that no member known here has. */
-	const listSeeds = () => {
+	/** Seed addresses from the settings that belong to no known member. */
+	const listUnknownSeeds = () => {
 		if (peers.length === 0) {
 			return [];
 		}
@@ -179,8 +184,9 @@
 			.map((peerAddress) => ({peerAddress, node: undefined}));
 	};
 
-	const reachLost = async () => {
-		const [lost] = sample([...view.gone(), ...listSeeds()], 1, random);
+	/** Probes a random gone member or seed address, to reconnect after a partition. */
+	const probeGoneMember = async () => {
+		const [lost] = sample([...view.gone(), ...listUnknownSeeds()], 1, random);
 		if (lost) {
 			const whole = lost.node === undefined || view.present().length === 0;
 			await exchange(lost.peerAddress, lost.node, {whole});
@@ -192,38 +198,38 @@
 		random,
 		timing,
 		present: view.present,
-		lastJoin,
+		lastFullSyncAt,
 		join,
-		reachLost,
+		probeGoneMember,
 	});
 
-	const exchangeWhole = async () => {
+	const syncWithRandomMember = async () => {
 		const [member] = sample(view.present(), 1, random);
 		if (member) {
 			await join([member.peerAddress]);
 		}
 	};
 
-	const returnFromPause = async (pause: number) => {
+	const resumeAfterPause = async (pause: number) => {
 		pauses.push(pause);
 		isAnnouncing = true;
 		view.setSelf(reincarnate(view.self(), clock.date()), true);
-		await spreadNow();
+		await gossipNow();
 		isAnnouncing = false;
-		await exchangeWhole();
+		await syncWithRandomMember();
 	};
 
-	const repeat = async (
-		period: number,
+	const runPeriodically = async (
+		interval: number,
 		action: () => Promise<void> | void,
 		signal: AbortSignal,
 	) => {
-		await sleep(clock, period * random.fraction(), signal);
+		await sleep(clock, interval * random.fraction(), signal);
 		while (!signal.aborted) {
 			// eslint-disable-next-line no-await-in-loop -- one round after another.
 			await action();
 			// eslint-disable-next-line no-await-in-loop -- one round after another.
-			await sleep(clock, period * (0.9 + 0.2 * random.fraction()), signal);
+			await sleep(clock, interval * (0.9 + 0.2 * random.fraction()), signal);
 		}
 	};
 
@@ -233,43 +239,48 @@
 		entries: view.entries,
 		changes: view.changes,
 		pauses: pauses.stream,
-		isSuspended: () => isAnnouncing || lease.hasLapsed(),
+		isSuspended: () => isAnnouncing || lease.hasExpired(),
 		announce(change) {
 			const own = view.self();
 			const isUrgent = change.state !== undefined || 'target' in change;
 			view.setSelf(announceChange(own, change), isUrgent);
-			void spread();
+			void gossip();
 		},
 		receive(probe) {
-			takeIn(probe);
-			const [sender, ...news] = probe.members;
-			const limit = Math.max(newsLimits.acknowledgement, news.length);
-			const most = Math.min(newsLimits.probe, limit);
+			applyMessage(probe);
+			const [sender, ...gossipRecords] = probe.members;
+			const limit = Math.max(
+				gossipLimits.acknowledgement,
+				gossipRecords.length,
+			);
+			const maxRecords = Math.min(gossipLimits.probe, limit);
 			return {
 				type: 'acknowledgement',
 				sequence: probe.sequence,
-				members: probe.whole ? view.whole() : view.answerNews(sender, most),
+				members: probe.whole
+					? view.whole()
+					: view.replyGossip(sender, maxRecords),
 				configurationVersion: view.self().configurationVersion,
 			};
 		},
 		join,
-		spread,
+		gossip,
 		async run(signal) {
 			await Promise.all([
 				lease.run(signal, (pause) => {
-					void returnFromPause(pause);
+					void resumeAfterPause(pause);
 				}),
-				repeat(timing.probePeriod, probeNext, signal),
-				repeat(
-					timing.probePeriod / 2,
+				runPeriodically(timing.probeInterval, probeNext, signal),
+				runPeriodically(
+					timing.probeInterval / 2,
 					async () => {
 						view.expire();
-						await catchUp.act();
+						await catchUp.runDue();
 					},
 					signal,
 				),
-				repeat(timing.lostPeriod, reachLost, signal),
-				repeat(timing.wholePeriod, exchangeWhole, signal),
+				runPeriodically(timing.reconnectInterval, probeGoneMember, signal),
+				runPeriodically(timing.fullSyncInterval, syncWithRandomMember, signal),
 			]);
 		},
 	};
