--- a/packages/benchmark/src/quarantine-cost.ts
+++ b/packages/benchmark/src/quarantine-cost.ts
@@ -51,9 +51,9 @@
 	const ignore = () => undefined;
 	return createQuarantine({
 		clock: createVirtualClock(),
-		spread: ignore,
-		passOn: ignore,
-		keep: ignore,
+		broadcast: ignore,
+		gossip: ignore,
+		persist: ignore,
 		onQuarantined: ignore,
 	});
 }
@@ -72,7 +72,7 @@
 	quarantine: Quarantine,
 	partsOf: (index: number) => RequestParts,
 ): void {
-	quarantine.noteCrash(
+	quarantine.recordCrash(
 		Array.from({length: requestsOfCrash}, (_, index) => ({
 			identity: identifyRequest(partsOf(index)),
 			startedAt: 0,
--- a/packages/control/src/suspect-rows.ts
+++ b/packages/control/src/suspect-rows.ts
@@ -4,9 +4,9 @@
  * node with what it found out itself, read by all now and then.
  */
 import {
-	createNotedSuspects,
+	createLocalSuspects,
 	createRowWriter,
-	readNoted,
+	parseLocalSuspects,
 	type Suspect,
 } from '@egretspoke/quarantine';
 import type {Platform} from '@egretspoke/storage';
@@ -37,7 +37,7 @@
 /** Creates the rows; nothing is read before `run`. */
 export function createSuspectRows(options: SuspectRowsOptions): SuspectRows {
 	const {platform, clock, random} = options;
-	const noted = createNotedSuspects(clock);
+	const noted = createLocalSuspects(clock);
 	const key = `${suspectPrefix}${options.node}`;
 
 	const writer = createRowWriter({
@@ -45,7 +45,7 @@
 		random,
 		async write() {
 			const rows = await platform.table.transact([
-				{kind: 'put', key, value: noted.toText()},
+				{kind: 'put', key, value: noted.serialize()},
 			]);
 			return rows.isOk();
 		},
@@ -59,13 +59,13 @@
 		}
 
 		for (const row of rows.value) {
-			const suspects = readNoted(row.value, clock) ?? [];
+			const suspects = parseLocalSuspects(row.value, clock) ?? [];
 			if (row.key !== key || isFirst) {
 				options.onSuspects(suspects);
 			}
 
 			if (row.key === key && isFirst) {
-				noted.keepEarlier(suspects);
+				noted.restore(suspects);
 			}
 		}
 
@@ -74,7 +74,7 @@
 
 	return {
 		note(suspects) {
-			noted.note(suspects);
+			noted.record(suspects);
 			writer.request();
 		},
 		async run(signal) {
--- a/packages/mesh/__tests__/suspect-fleet.ts
+++ b/packages/mesh/__tests__/suspect-fleet.ts
@@ -214,7 +214,7 @@
 	const crash = (node: FleetNode, startedAt: number, sent: number) => {
 		crashes.push(clock.now());
 		node.isTargetUp = false;
-		node.suspects.noteCrash([{identity, startedAt, crashes: sent}]);
+		node.suspects.recordCrash([{identity, startedAt, crashes: sent}]);
 		clock.setTimer(downTime, () => {
 			node.isTargetUp = true;
 		});
--- a/packages/mesh/src/gatekeeper.ts
+++ b/packages/mesh/src/gatekeeper.ts
@@ -123,11 +123,11 @@
 			clock,
 			isLeaving: () => target?.isLeaving ?? true,
 			onCrash(jobs, lost) {
-				for (const job of isolation.takeOut(() => true)) {
+				for (const job of isolation.removeWhere(() => true)) {
 					refuse(job, 'targetUnreachable');
 				}
 
-				const {noteCrash} = suspects;
+				const {recordCrash: noteCrash} = suspects;
 				reportCrash({...options, noteCrash}, jobs, lost);
 			},
 			probe(onResult) {
@@ -362,7 +362,10 @@
 		const now = clock.now();
 		const isOverdue = ({offeredAt, request}: Job) =>
 			offeredAt + request.patience < now;
-		for (const job of [...gate.expire(now), ...isolation.takeOut(isOverdue)]) {
+		for (const job of [
+			...gate.expire(now),
+			...isolation.removeWhere(isOverdue),
+		]) {
 			refuse(job, 'waitedTooLong');
 		}
 
@@ -387,7 +390,7 @@
 
 	const takeWaiting = (): Job[] => [
 		...gate.clear(),
-		...isolation.takeOut(() => true),
+		...isolation.removeWhere(() => true),
 	];
 
 	return {
--- a/packages/mesh/src/suspect-register.ts
+++ b/packages/mesh/src/suspect-register.ts
@@ -6,9 +6,9 @@
  * know them all the same. A few nodes follow the table and tell the rest.
  */
 import {
-	createNotedSuspects,
+	createLocalSuspects,
 	createRowWriter,
-	readNoted,
+	parseLocalSuspects,
 	type Suspect,
 } from '@egretspoke/quarantine';
 import {sleep, type Clock, type Random} from '@egretspoke/shared';
@@ -48,12 +48,12 @@
 	options: SuspectRegisterOptions,
 ): SuspectRegister {
 	const {store, node, clock, random, reporter} = options;
-	const noted = createNotedSuspects(clock);
+	const noted = createLocalSuspects(clock);
 	let version = 0;
 
 	const writeOnce = async (): Promise<boolean> => {
 		const result = await store.write(
-			{table, key: node, value: noted.toText()},
+			{table, key: node, value: noted.serialize()},
 			version,
 		);
 		if (result.isOk()) {
@@ -64,14 +64,14 @@
 		if (result.error.kind === 'conflict') {
 			const {current} = result.error;
 			version = current?.version ?? 0;
-			noted.keepEarlier(current ? decode(current) : []);
+			noted.restore(current ? decode(current) : []);
 		}
 
 		return false;
 	};
 
 	const decode = ({key, value}: StoredRow): Suspect[] => {
-		const suspects = readNoted(value, clock);
+		const suspects = parseLocalSuspects(value, clock);
 		if (!suspects) {
 			reporter.notice('meshRowMalformed', {key});
 		}
@@ -90,7 +90,7 @@
 
 	return {
 		note(suspects) {
-			noted.note(suspects);
+			noted.record(suspects);
 			writer.request();
 		},
 		async run(signal) {
--- a/packages/mesh/src/suspects.ts
+++ b/packages/mesh/src/suspects.ts
@@ -1,8 +1,8 @@
 /** The quarantine of a mesh node: by requests as they are handed over, over links, gossip and the store. */
 import {
 	createQuarantine,
-	expiryPeriod,
-	renewalPeriod,
+	expiryInterval,
+	renewalInterval,
 	toSuspect,
 	toTuple,
 	type Quarantine,
@@ -52,15 +52,15 @@
 	const {headerNames, reporter} = options;
 	const quarantine = createQuarantine({
 		clock: options.clock,
-		spread(suspects) {
+		broadcast(suspects) {
 			options.tellAll(toMessage(suspects));
 		},
-		passOn(suspects) {
+		gossip(suspects) {
 			for (const suspect of suspects) {
 				options.gossip().add(suspect);
 			}
 		},
-		keep(suspects) {
+		persist(suspects) {
 			options.register().note(suspects);
 		},
 		onQuarantined({identity, crashes}) {
@@ -69,27 +69,27 @@
 	});
 
 	return {
-		noteCrash: quarantine.noteCrash,
+		recordCrash: quarantine.recordCrash,
 		lookUp: (request) =>
 			quarantine.lookUp(request.path, request.body?.byteLength ?? 0, () =>
 				partsOf(request, headerNames),
 			),
 		noteAnswer(request) {
-			quarantine.noteAnswer(request.path, request.body?.byteLength ?? 0, () =>
+			quarantine.recordAnswer(request.path, request.body?.byteLength ?? 0, () =>
 				partsOf(request, headerNames),
 			);
 		},
 		take({suspects}) {
-			quarantine.take(suspects.map((tuple) => toSuspect(tuple)));
+			quarantine.receive(suspects.map((tuple) => toSuspect(tuple)));
 		},
-		takeStored: quarantine.take,
+		takeStored: quarantine.receive,
 		greeting() {
 			const suspects = quarantine.list();
 			return suspects.length === 0 ? [] : [toMessage(suspects)];
 		},
 		start(ticker) {
-			ticker.schedule(expiryPeriod, quarantine.expire);
-			ticker.schedule(renewalPeriod, quarantine.renew);
+			ticker.schedule(expiryInterval, quarantine.expire);
+			ticker.schedule(renewalInterval, quarantine.renew);
 		},
 	};
 }
--- a/packages/node/src/node-quarantine.ts
+++ b/packages/node/src/node-quarantine.ts
@@ -2,9 +2,9 @@
 import type {Member, SuspectsMessage} from '@egretspoke/protocol';
 import {
 	createQuarantine,
-	expiryPeriod,
+	expiryInterval,
 	isQuarantined,
-	renewalPeriod,
+	renewalInterval,
 	toSuspect,
 	toTuple,
 	type CrashedRun,
@@ -74,19 +74,19 @@
 
 	const quarantine = createQuarantine({
 		clock,
-		spread(suspects) {
+		broadcast(suspects) {
 			tellSome(others(), suspects);
 		},
-		passOn(suspects) {
+		gossip(suspects) {
 			tellSome(sample(others(), receivers, random), suspects);
 		},
-		keep: options.keep,
+		persist: options.keep,
 		onQuarantined({identity, crashes}) {
 			reporter.notice({name: 'requestQuarantined', identity, crashes});
 		},
 	});
-	void createTicks(clock, expiryPeriod, signal).observe(quarantine.expire);
-	void createTicks(clock, renewalPeriod, signal).observe(quarantine.renew);
+	void createTicks(clock, expiryInterval, signal).observe(quarantine.expire);
+	void createTicks(clock, renewalInterval, signal).observe(quarantine.renew);
 
 	const lookUp = (call: KnownCall) =>
 		quarantine.lookUp(call.path, call.body.byteLength, () => partsOf(call));
@@ -108,16 +108,16 @@
 			});
 			return true;
 		},
-		noteCrash: quarantine.noteCrash,
+		noteCrash: quarantine.recordCrash,
 		noteAnswer(call) {
-			quarantine.noteAnswer(call.path, call.body.byteLength, () =>
+			quarantine.recordAnswer(call.path, call.body.byteLength, () =>
 				partsOf(call),
 			);
 		},
 		take({suspects}) {
-			quarantine.take(suspects.map((tuple) => toSuspect(tuple)));
+			quarantine.receive(suspects.map((tuple) => toSuspect(tuple)));
 		},
-		takeStored: quarantine.take,
+		takeStored: quarantine.receive,
 		greeting() {
 			const suspects = quarantine.list();
 			return suspects.length === 0 ? undefined : toMessage(suspects);
--- a/packages/quarantine/__tests__/crash-detector.spec.ts
+++ b/packages/quarantine/__tests__/crash-detector.spec.ts
@@ -1,6 +1,6 @@
 import {createVirtualClock} from '@egretspoke/shared';
 import {expect} from 'chai';
-import {createCrashDetector, settleTime} from '../src/index.js';
+import {createCrashDetector, settleTimeout} from '../src/index.js';
 
 /** A detector over runs that are named by texts. */
 function createWatch({isListening}: {isListening: boolean}) {
@@ -88,7 +88,7 @@
 		const {clock, start, lose, verdicts} = createWatch({isListening: false});
 		start('a', 'b', 'c', 'd');
 		lose('a', 'b', 'c');
-		clock.advanceTo(settleTime);
+		clock.advanceTo(settleTimeout);
 		lose('d');
 		expect(verdicts).to.deep.equal([
 			[['a', 'b', 'c'], true],
@@ -104,7 +104,7 @@
 		});
 		start('a', 'b', 'c');
 		lose('a');
-		clock.advanceTo(settleTime);
+		clock.advanceTo(settleTimeout);
 		expect(verdicts).to.deep.equal([[['a'], false]]);
 		expect(probes()).to.equal(0);
 	});
--- a/packages/quarantine/__tests__/isolation.spec.ts
+++ b/packages/quarantine/__tests__/isolation.spec.ts
@@ -28,7 +28,7 @@
 
 		expect(isolation.withdraw('b')).to.equal(true);
 		expect(isolation.withdraw('a')).to.equal(false);
-		expect(isolation.takeOut((item) => item === 'd')).to.deep.equal(['d']);
+		expect(isolation.removeWhere((item) => item === 'd')).to.deep.equal(['d']);
 		expect(isolation.leave('a')).to.equal('c');
 	});
 });
--- a/packages/quarantine/__tests__/noted-suspects.spec.ts
+++ b/packages/quarantine/__tests__/local-suspects.spec.ts
@@ -1,9 +1,9 @@
 import {createVirtualClock} from '@egretspoke/shared';
 import {expect} from 'chai';
 import {
-	createNotedSuspects,
-	memoryTime,
-	readNoted,
+	createLocalSuspects,
+	retentionPeriod,
+	parseLocalSuspects,
 	type Suspect,
 } from '../src/index.js';
 
@@ -16,10 +16,10 @@
 describe('the suspects that a node keeps in the store', () => {
 	it('are read as they were written', () => {
 		const clock = createVirtualClock();
-		const noted = createNotedSuspects(clock);
-		noted.note([suspect('a'), suspect('b', 3)]);
-		noted.note([suspect('a', 2)]);
-		expect(readNoted(noted.toText(), clock)).to.deep.equal([
+		const noted = createLocalSuspects(clock);
+		noted.record([suspect('a'), suspect('b', 3)]);
+		noted.record([suspect('a', 2)]);
+		expect(parseLocalSuspects(noted.serialize(), clock)).to.deep.equal([
 			suspect('b', 3),
 			suspect('a', 2),
 		]);
@@ -27,13 +27,13 @@
 
 	it('are bounded, those in quarantine kept first, then the latest', () => {
 		const clock = createVirtualClock();
-		const noted = createNotedSuspects(clock);
-		noted.note([suspect('deadly', 3)]);
+		const noted = createLocalSuspects(clock);
+		noted.record([suspect('deadly', 3)]);
 		for (let index = 0; index < 1000; index++) {
-			noted.note([suspect(`bystander-${index}`)]);
+			noted.record([suspect(`bystander-${index}`)]);
 		}
 
-		const read = readNoted(noted.toText(), clock)!;
+		const read = parseLocalSuspects(noted.serialize(), clock)!;
 		expect(read).to.have.length(128);
 		expect(read).to.deep.include(suspect('deadly', 3));
 		expect(read).to.deep.include(suspect('bystander-999'));
@@ -41,10 +41,10 @@
 
 	it('stay when the node starts again, behind what it has noted since', () => {
 		const clock = createVirtualClock();
-		const noted = createNotedSuspects(clock);
-		noted.note([suspect('a', 2)]);
-		noted.keepEarlier([suspect('a'), suspect('b', 3)]);
-		expect(readNoted(noted.toText(), clock)).to.deep.equal([
+		const noted = createLocalSuspects(clock);
+		noted.record([suspect('a', 2)]);
+		noted.restore([suspect('a'), suspect('b', 3)]);
+		expect(parseLocalSuspects(noted.serialize(), clock)).to.deep.equal([
 			suspect('a', 2),
 			suspect('b', 3),
 		]);
@@ -52,11 +52,11 @@
 
 	it('are forgotten when their text is old', () => {
 		const clock = createVirtualClock();
-		const noted = createNotedSuspects(clock);
-		noted.note([suspect('a', 3)]);
-		const text = noted.toText();
-		clock.advanceTo(memoryTime + 1);
-		expect(readNoted(text, clock)).to.deep.equal([]);
+		const noted = createLocalSuspects(clock);
+		noted.record([suspect('a', 3)]);
+		const text = noted.serialize();
+		clock.advanceTo(retentionPeriod + 1);
+		expect(parseLocalSuspects(text, clock)).to.deep.equal([]);
 	});
 
 	for (const text of [
@@ -66,7 +66,9 @@
 		'{"at":0,"suspects":[["a",-1,1]]}',
 	]) {
 		it(`are none of ${text}`, () => {
-			expect(readNoted(text, createVirtualClock())).to.equal(undefined);
+			expect(parseLocalSuspects(text, createVirtualClock())).to.equal(
+				undefined,
+			);
 		});
 	}
 });
--- a/packages/quarantine/__tests__/suspect-table.spec.ts
+++ b/packages/quarantine/__tests__/suspect-table.spec.ts
@@ -4,7 +4,7 @@
 	identifyRequest,
 	isIsolated,
 	isQuarantined,
-	memoryTime,
+	retentionPeriod,
 	type RequestParts,
 	type SuspectTable,
 } from '../src/index.js';
@@ -35,7 +35,7 @@
 			[2, {isolated: true, quarantined: false}],
 			[3, {isolated: true, quarantined: true}],
 		] as const) {
-			table.noteCrash([run('deadly', index * 1000)], index * 1000 + 100);
+			table.recordCrash([run('deadly', index * 1000)], index * 1000 + 100);
 			const suspect = lookUp(table, 'deadly')!;
 			expect(isIsolated(suspect)).to.equal(level.isolated);
 			expect(isQuarantined(suspect)).to.equal(level.quarantined);
@@ -44,14 +44,14 @@
 
 	it('is counted by what its sender knew where news have not come', () => {
 		const table = createSuspectTable();
-		table.noteCrash([run('deadly', 0, 2)], 100);
+		table.recordCrash([run('deadly', 0, 2)], 100);
 		expect(crashesOf(table, 'deadly')).to.equal(3);
 	});
 
 	it('alone takes the blame once it is isolated', () => {
 		const table = createSuspectTable();
-		table.noteCrash([run('deadly', 0, 1)], 100);
-		table.noteCrash([run('deadly', 200), run('other', 200, 1)], 300);
+		table.recordCrash([run('deadly', 0, 1)], 100);
+		table.recordCrash([run('deadly', 200), run('other', 200, 1)], 300);
 		expect(crashesOf(table, 'deadly')).to.equal(3);
 		expect(crashesOf(table, 'other')).to.equal(0);
 	});
@@ -62,7 +62,7 @@
 	it('counts targets that crash together once', () => {
 		const table = createSuspectTable();
 		for (let target = 0; target < 5; target++) {
-			table.noteCrash([run('popular', 0)], 100 + target);
+			table.recordCrash([run('popular', 0)], 100 + target);
 		}
 
 		expect(crashesOf(table, 'popular')).to.equal(1);
@@ -72,7 +72,7 @@
 	it('is cleared by an answer', () => {
 		const table = createSuspectTable();
 		for (let crash = 0; crash < 9; crash++) {
-			table.noteCrash([run('popular', crash * 1000)], crash * 1000 + 100);
+			table.recordCrash([run('popular', crash * 1000)], crash * 1000 + 100);
 			table.clear(identityOf('popular'), crash * 1000 + 200);
 		}
 
@@ -81,7 +81,7 @@
 
 	it('stays cleared when an older report comes late', () => {
 		const table = createSuspectTable();
-		const reports = table.noteCrash([run('popular', 0, 2)], 100);
+		const reports = table.recordCrash([run('popular', 0, 2)], 100);
 		table.clear(identityOf('popular'), 200);
 		expect(table.merge(reports, 300)).to.deep.equal([]);
 		expect(lookUp(table, 'popular')).to.equal(undefined);
@@ -89,9 +89,9 @@
 
 	it('can come under suspicion again after it was cleared', () => {
 		const table = createSuspectTable();
-		table.noteCrash([run('changed', 0)], 100);
+		table.recordCrash([run('changed', 0)], 100);
 		table.clear(identityOf('changed'), 200);
-		table.noteCrash([run('changed', 300)], 400);
+		table.recordCrash([run('changed', 300)], 400);
 		expect(crashesOf(table, 'changed')).to.equal(1);
 	});
 });
@@ -123,8 +123,8 @@
 
 	it('begins with those of most crashes', () => {
 		const table = createSuspectTable();
-		table.noteCrash([run('bystander', 0)], 100);
-		table.noteCrash([run('deadly', 0, 2)], 100);
+		table.recordCrash([run('bystander', 0)], 100);
+		table.recordCrash([run('deadly', 0, 2)], 100);
 		expect(table.list(1)).to.deep.equal([
 			{identity: identityOf('deadly'), round: 0, crashes: 3},
 		]);
@@ -134,21 +134,21 @@
 describe('the memory of suspects', () => {
 	it('ends when a request has not come for long, and not while it comes', () => {
 		const table = createSuspectTable();
-		table.noteCrash([run('deadly', 0, 2), run('gone', 0, 2)], 100);
-		lookUp(table, 'deadly', memoryTime);
-		table.expire(memoryTime + 200);
+		table.recordCrash([run('deadly', 0, 2), run('gone', 0, 2)], 100);
+		lookUp(table, 'deadly', retentionPeriod);
+		table.expire(retentionPeriod + 200);
 		expect(lookUp(table, 'gone')).to.equal(undefined);
 		expect(crashesOf(table, 'deadly')).to.equal(3);
 	});
 
 	it('is bounded, and keeps what is in quarantine longest', () => {
 		const table = createSuspectTable();
-		table.noteCrash([run('deadly', 0, 2)], 100);
+		table.recordCrash([run('deadly', 0, 2)], 100);
 		for (let crash = 0; crash < 100; crash++) {
 			const runs = Array.from({length: 100}, (_, index) =>
 				run(`${crash}-${index}`, crash),
 			);
-			table.noteCrash(runs, crash);
+			table.recordCrash(runs, crash);
 		}
 
 		expect(table.list(20_000)).to.have.length(1000);
@@ -157,7 +157,7 @@
 
 	it('asks for no digest of requests on other paths or with bodies of other lengths', () => {
 		const table = createSuspectTable();
-		table.noteCrash([run('deadly', 0)], 100);
+		table.recordCrash([run('deadly', 0)], 100);
 		const refuseDigest = () => {
 			throw new Error('not to be identified');
 		};
--- a/packages/quarantine/src/crash-detector.ts
+++ b/packages/quarantine/src/crash-detector.ts
@@ -34,7 +34,7 @@
 };
 
 /** Milliseconds in which the ends of all connections of a process are noticed. */
-export const settleTime = 15;
+export const settleTimeout = 15;
 
 /** Creates the detector of a target that runs nothing. */
 export function createCrashDetector<Run>(
@@ -122,7 +122,7 @@
 				hasCrashed = false;
 				firstUnexposed = nextOrdinal;
 				exposed = running;
-				timer = clock.setTimer(settleTime, settle);
+				timer = clock.setTimer(settleTimeout, settle);
 			}
 
 			undecided.push(run);
--- a/packages/quarantine/src/isolation.ts
+++ b/packages/quarantine/src/isolation.ts
@@ -15,7 +15,7 @@
 	/** Takes one that waits out; false when it isn't waiting. */
 	withdraw(item: Item): boolean;
 	/** Takes those that wait and fulfil the condition out. */
-	takeOut(isConcerned: (item: Item) => boolean): Item[];
+	removeWhere(isConcerned: (item: Item) => boolean): Item[];
 	waiting(): number;
 };
 
@@ -49,7 +49,7 @@
 
 			return index !== -1;
 		},
-		takeOut(isConcerned) {
+		removeWhere(isConcerned) {
 			const taken = waiting.filter((item) => isConcerned(item));
 			waiting = waiting.filter((item) => !isConcerned(item));
 			return taken;
--- a/packages/quarantine/src/noted-suspects.ts
+++ b/packages/quarantine/src/local-suspects.ts
@@ -3,15 +3,15 @@
 import {z} from 'zod';
 import type {RequestIdentity} from './request-identity.js';
 import {isQuarantined, type Suspect} from './suspect.js';
-import {memoryTime} from './suspect-table.js';
+import {retentionPeriod} from './suspect-table.js';
 import {suspectTupleSchema, toSuspect, toTuple} from './suspect-tuple.js';
 
 /** The suspects of one node, within a bound. */
-export type NotedSuspects = {
-	note(suspects: readonly Suspect[]): void;
+export type LocalSuspects = {
+	record(suspects: readonly Suspect[]): void;
 	/** Takes what an earlier start of the node had noted; what is noted since goes first. */
-	keepEarlier(suspects: readonly Suspect[]): void;
-	toText(): string;
+	restore(suspects: readonly Suspect[]): void;
+	serialize(): string;
 };
 
 /** Suspects in one text at most. */
@@ -24,7 +24,7 @@
 });
 
 /** Creates the suspects of a node that has found out nothing. */
-export function createNotedSuspects(clock: Clock): NotedSuspects {
+export function createLocalSuspects(clock: Clock): LocalSuspects {
 	let noted = new Map<RequestIdentity, Suspect>();
 
 	const replace = (suspects: readonly Suspect[]) => {
@@ -48,7 +48,7 @@
 	};
 
 	return {
-		note(suspects) {
+		record(suspects) {
 			for (const suspect of suspects) {
 				noted.delete(suspect.identity);
 				noted.set(suspect.identity, suspect);
@@ -56,11 +56,11 @@
 
 			trim();
 		},
-		keepEarlier(suspects) {
+		restore(suspects) {
 			replace([...suspects, ...noted.values()]);
 			trim();
 		},
-		toText: () =>
+		serialize: () =>
 			JSON.stringify({
 				at: clock.date().getTime(),
 				suspects: [...noted.values()].map((suspect) => toTuple(suspect)),
@@ -69,14 +69,17 @@
 }
 
 /** The suspects of a text, none when it is too old; undefined when it is malformed. */
-export function readNoted(text: string, clock: Clock): Suspect[] | undefined {
+export function parseLocalSuspects(
+	text: string,
+	clock: Clock,
+): Suspect[] | undefined {
 	const parsed = textSchema.safeParse(parseJson(text));
 	if (!parsed.success) {
 		return undefined;
 	}
 
 	const {at, suspects} = parsed.data;
-	const isOld = clock.date().getTime() - at > memoryTime;
+	const isOld = clock.date().getTime() - at > retentionPeriod;
 	return isOld ? [] : suspects.map((tuple) => toSuspect(tuple));
 }
 
--- a/packages/quarantine/src/quarantine.ts
+++ b/packages/quarantine/src/quarantine.ts
@@ -8,11 +8,11 @@
 export type QuarantineOptions = {
 	clock: Clock;
 	/** This node has found something out: tells all that it can reach. */
-	spread: (suspects: Suspect[]) => void;
+	broadcast: (suspects: Suspect[]) => void;
 	/** Another node has: passes it on to a few. */
-	passOn: (suspects: Suspect[]) => void;
+	gossip: (suspects: Suspect[]) => void;
 	/** Keeps it beyond the life of this process. */
-	keep: (suspects: Suspect[]) => void;
+	persist: (suspects: Suspect[]) => void;
 	/** A request is not to be run any more. */
 	onQuarantined: (suspect: Suspect) => void;
 };
@@ -26,15 +26,15 @@
 		partsOf: () => RequestParts,
 	): Suspect | undefined;
 	/** The target beside this node crashed; gives what is known now of the suspects that this changed. */
-	noteCrash(runs: CrashedRun[]): Suspect[];
+	recordCrash(runs: CrashedRun[]): Suspect[];
 	/** The target beside this node answered the request. */
-	noteAnswer(
+	recordAnswer(
 		path: string,
 		bodyLength: number,
 		partsOf: () => RequestParts,
 	): void;
 	/** Takes what other nodes know. */
-	take(told: readonly Suspect[]): void;
+	receive(told: readonly Suspect[]): void;
 	/** What a node that has just been reached has to know. */
 	list(): Suspect[];
 	/** Forgets what has not come for long; to be called in each `expiryPeriod`. */
@@ -44,15 +44,15 @@
 };
 
 /** Milliseconds between two looks for suspects to forget. */
-export const expiryPeriod = 10_000;
+export const expiryInterval = 10_000;
 /** Milliseconds after which requests in quarantine that still come are kept anew. */
-export const renewalPeriod = 900_000;
+export const renewalInterval = 900_000;
 /** Suspects that a node tells another one at most. */
 const mostTold = 128;
 
 /** Creates the quarantine of a node that has heard of nothing. */
 export function createQuarantine(options: QuarantineOptions): Quarantine {
-	const {clock, spread, keep} = options;
+	const {clock, broadcast: spread, persist: keep} = options;
 	const table = createSuspectTable();
 	/** Requests in quarantine that came here since they were kept last. */
 	const refused = new Map<RequestIdentity, Suspect>();
@@ -87,13 +87,13 @@
 
 			return suspect;
 		},
-		noteCrash(runs) {
-			const changed = table.noteCrash(runs, clock.now());
+		recordCrash(runs) {
+			const changed = table.recordCrash(runs, clock.now());
 			tellQuarantined(changed);
 			publish(changed);
 			return changed;
 		},
-		noteAnswer(path, bodyLength, partsOf) {
+		recordAnswer(path, bodyLength, partsOf) {
 			const suspect = lookUp(path, bodyLength, partsOf);
 			if (!suspect) {
 				return;
@@ -106,11 +106,11 @@
 				publish([cleared]);
 			}
 		},
-		take(told) {
+		receive(told) {
 			const news = table.merge(told, clock.now());
 			tellQuarantined(news);
 			if (news.length > 0) {
-				options.passOn(news);
+				options.gossip(news);
 			}
 		},
 		list: () => table.list(mostTold),
--- a/packages/quarantine/src/suspect-table.ts
+++ b/packages/quarantine/src/suspect-table.ts
@@ -41,7 +41,7 @@
 		now: number,
 	): Suspect | undefined;
 	/** Takes a crash and what it ended; gives the suspects that it changed. */
-	noteCrash(runs: CrashedRun[], now: number): Suspect[];
+	recordCrash(runs: CrashedRun[], now: number): Suspect[];
 	/** A target answered the request; gives what changes by that. */
 	clear(identity: RequestIdentity, now: number): Suspect | undefined;
 	/** Takes what another node knows; gives what is new here. */
@@ -53,7 +53,7 @@
 };
 
 /** Milliseconds for which a suspect is remembered after it was asked for last. */
-export const memoryTime = 3_600_000;
+export const retentionPeriod = 3_600_000;
 /** Suspects that are remembered at most. */
 const capacity = 1000;
 
@@ -140,7 +140,7 @@
 			entry.seenAt = now;
 			return entry;
 		},
-		noteCrash(runs, now) {
+		recordCrash(runs, now) {
 			const weighed = runs.map((run) => ({
 				identity: run.identity,
 				before: crashesBefore(run),
@@ -184,7 +184,7 @@
 				.map(({identity, round, crashes}) => ({identity, round, crashes})),
 		expire(now) {
 			for (const entry of entries.values()) {
-				if (now - entry.seenAt > memoryTime) {
+				if (now - entry.seenAt > retentionPeriod) {
 					remove(entry);
 				}
 			}
