--- a/packages/mesh/src/gatekeeper.ts
+++ b/packages/mesh/src/gatekeeper.ts
@@ -56,7 +56,7 @@
 	/** The bound on repeats at a service, over all nodes. */
 	retryBudget: OfferBudgetOptions;
 	/** Requests under which targets crashed. */
-	suspects: Pick<Suspects, 'lookUp' | 'noteCrash' | 'noteAnswer'>;
+	suspects: Pick<Suspects, 'lookUp' | 'recordCrash' | 'noteAnswer'>;
 	/** The target can't be reached or has been replaced; true once it answers again. */
 	onReachable: (isReachable: boolean) => void;
 };
--- a/packages/mesh/src/suspects.ts
+++ b/packages/mesh/src/suspects.ts
@@ -33,7 +33,7 @@
 type KnownRequest = Pick<HandedRequest, 'method' | 'path' | 'headers' | 'body'>;
 
 /** The quarantine. */
-export type Suspects = Pick<Quarantine, 'noteCrash'> & {
+export type Suspects = Pick<Quarantine, 'recordCrash'> & {
 	/** What is known of the request; undefined when no target crashed under it. */
 	lookUp(request: KnownRequest): Suspect | undefined;
 	/** The target beside this node answered the request. */
