--- a/packages/faults/src/handlers.ts
+++ b/packages/faults/src/handlers.ts
@@ -14,7 +14,7 @@
 	acceptCertifiedRefusal,
 	createRefusal,
 	ErrorCode,
-	refuseNotRun,
+	createNotRunOutcome,
 	type Outcome,
 } from '@egretspoke/protocol';
 
@@ -93,7 +93,7 @@
 ): Promise<Outcome> {
 	const outcome = await attemptAtMostOnce(options);
 	return outcome.kind === 'unknown'
-		? refuseNotRun(
+		? createNotRunOutcome(
 				acceptCertifiedRefusal('peer'),
 				createRefusal(ErrorCode.DeadlinePassed),
 			)
--- a/packages/ledger/__tests__/attempt-at-most-once.spec.ts
+++ b/packages/ledger/__tests__/attempt-at-most-once.spec.ts
@@ -1,9 +1,9 @@
 import {
 	acceptCertifiedRefusal,
-	admitUnknown,
+	createUnknownOutcome,
 	createRefusal,
 	ErrorCode,
-	refuseNotRun,
+	createNotRunOutcome,
 	type Answer,
 	type Outcome,
 	type Refusal,
@@ -46,7 +46,7 @@
 		const home = create({
 			async dispatch(attempt) {
 				await home.run(attempt);
-				return admitUnknown(createRefusal(ErrorCode.AnswerLost));
+				return createUnknownOutcome(createRefusal(ErrorCode.AnswerLost));
 			},
 		});
 		const first = home.attempt();
@@ -279,7 +279,7 @@
 
 function refuseAfterHandOver(attempt: Attempt): Outcome {
 	return attempt.ticket.handOver()
-		? refuseNotRun(
+		? createNotRunOutcome(
 				acceptCertifiedRefusal('peer'),
 				createRefusal(ErrorCode.Overloaded),
 			)
@@ -296,7 +296,7 @@
 function endUnsent(attempt: Attempt): Outcome {
 	const refusal =
 		attempt.ticket.obstacle() ?? createRefusal(ErrorCode.CallerGone);
-	return refuseNotRun(attempt.ticket.surrender()._unsafeUnwrap(), refusal);
+	return createNotRunOutcome(attempt.ticket.revoke()._unsafeUnwrap(), refusal);
 }
 
 function kindOf(outcome: Outcome): Outcome['kind'] {
--- a/packages/ledger/__tests__/ledger.spec.ts
+++ b/packages/ledger/__tests__/ledger.spec.ts
@@ -337,7 +337,7 @@
 }
 
 function prove(): NotRunProof {
-	return createHandOverTicket().surrender()._unsafeUnwrap();
+	return createHandOverTicket().revoke()._unsafeUnwrap();
 }
 
 function answerOf(text: string): Answer {
--- a/packages/ledger/src/attempt-at-most-once.ts
+++ b/packages/ledger/src/attempt-at-most-once.ts
@@ -5,16 +5,16 @@
  * of the first.
  */
 import {
-	admitUnknown,
+	createUnknownOutcome,
 	createRefusal,
 	ErrorCode,
-	refuseNotRun,
+	createNotRunOutcome,
 	type Outcome,
 	type Refusal,
 } from '@egretspoke/protocol';
 import type {Clock, Timer} from '@egretspoke/shared';
 import {createAttemptTicket, type AttemptTicket} from './attempt-ticket.js';
-import {stillRunning} from './ledger.js';
+import {createStillRunningOutcome} from './ledger.js';
 import type {Ledger, LedgerRequest, LedgerRun} from './ledger-decision.js';
 
 /** One try at one target. */
@@ -137,7 +137,7 @@
 		// eslint-disable-next-line no-await-in-loop -- the back-off comes before the next attempt.
 		const refusal = await askRetry(options, outcome.refusal, number);
 		if (refusal) {
-			return refuseNotRun(outcome.proof, refusal);
+			return createNotRunOutcome(outcome.proof, refusal);
 		}
 	}
 }
@@ -182,16 +182,17 @@
 }
 
 function endAtDeadline(ticket: AttemptTicket): Outcome {
-	return ticket.surrender().match(
-		(proof) => refuseNotRun(proof, createRefusal(ErrorCode.DeadlinePassed)),
-		() => admitUnknown(createRefusal(ErrorCode.DeadlineWhileRunning)),
+	return ticket.revoke().match(
+		(proof) =>
+			createNotRunOutcome(proof, createRefusal(ErrorCode.DeadlinePassed)),
+		() => createUnknownOutcome(createRefusal(ErrorCode.DeadlineWhileRunning)),
 	);
 }
 
 function endUnsent(ticket: AttemptTicket, refusal: Refusal): Outcome {
-	return ticket.surrender().match(
-		(proof) => refuseNotRun(proof, refusal),
-		() => admitUnknown(refusal),
+	return ticket.revoke().match(
+		(proof) => createNotRunOutcome(proof, refusal),
+		() => createUnknownOutcome(refusal),
 	);
 }
 
@@ -235,7 +236,11 @@
 	options: AttemptOptions,
 	settled: Promise<Outcome>,
 ): Promise<Outcome> {
-	const outcome = await raceDeadline(options, settled, stillRunning);
+	const outcome = await raceDeadline(
+		options,
+		settled,
+		createStillRunningOutcome,
+	);
 	return outcome.kind === 'notRun' &&
 		ownReasons.has(outcome.refusal.code) &&
 		!options.signal.aborted
--- a/packages/ledger/src/attempt-ticket.ts
+++ b/packages/ledger/src/attempt-ticket.ts
@@ -40,7 +40,7 @@
 		obstacle,
 		handOver() {
 			if (obstacle()) {
-				ticket.surrender();
+				ticket.revoke();
 				return false;
 			}
 
--- a/packages/ledger/src/ledger.ts
+++ b/packages/ledger/src/ledger.ts
@@ -12,9 +12,9 @@
 import {
 	createHandOverTicket,
 	createRefusal,
-	admitUnknown,
+	createUnknownOutcome,
 	ErrorCode,
-	refuseNotRun,
+	createNotRunOutcome,
 	type Answer,
 	type Outcome,
 	type Refusal,
@@ -93,7 +93,7 @@
 
 			entries.delete(entry.id);
 			expiries.remove(entry);
-			settle(entry, {kind: 'freed'}, refuseNotRun(proof, refusal));
+			settle(entry, {kind: 'freed'}, createNotRunOutcome(proof, refusal));
 		},
 		answered(answer) {
 			if (entry.settlement.kind === 'answered' || !isCurrent(entries, entry)) {
@@ -105,7 +105,11 @@
 		},
 		unknown(refusal) {
 			if (entry.settlement.kind === 'running' && isCurrent(entries, entry)) {
-				settle(entry, {kind: 'unknown', refusal}, admitUnknown(refusal));
+				settle(
+					entry,
+					{kind: 'unknown', refusal},
+					createUnknownOutcome(refusal),
+				);
 			}
 		},
 	});
@@ -143,7 +147,10 @@
 	const repeat = (entry: Entry): LedgerDecision => {
 		const {settlement} = entry;
 		if (settlement.kind === 'unknown') {
-			return {kind: 'settled', outcome: admitUnknown(settlement.refusal)};
+			return {
+				kind: 'settled',
+				outcome: createUnknownOutcome(settlement.refusal),
+			};
 		}
 
 		if (settlement.kind === 'answered') {
@@ -152,12 +159,12 @@
 				kind: 'settled',
 				outcome: answer
 					? repeatAnswer(answer)
-					: admitUnknown(createRefusal(ErrorCode.OutcomeForgotten)),
+					: createUnknownOutcome(createRefusal(ErrorCode.OutcomeForgotten)),
 			};
 		}
 
 		if (entry.waiters.length >= waitersCapacity) {
-			return {kind: 'settled', outcome: stillRunning()};
+			return {kind: 'settled', outcome: createStillRunningOutcome()};
 		}
 
 		return {
@@ -198,18 +205,18 @@
 }
 
 /** The end of a repeat that can't wait any longer for the first attempt. */
-export function stillRunning(): Outcome {
-	return admitUnknown(
+export function createStillRunningOutcome(): Outcome {
+	return createUnknownOutcome(
 		createRefusal(ErrorCode.StillRunning, {retryAfter: stillRunningRetryAfter}),
 	);
 }
 
 /** The end of an attempt that never left this process. */
-export function refuseHere(refusal: Refusal): Outcome {
-	const proof = createHandOverTicket().surrender();
+export function refuseUnsent(refusal: Refusal): Outcome {
+	const proof = createHandOverTicket().revoke();
 	return proof.isOk()
-		? refuseNotRun(proof.value, refusal)
-		: admitUnknown(refusal);
+		? createNotRunOutcome(proof.value, refusal)
+		: createUnknownOutcome(refusal);
 }
 
 function identify(service: string, key: string): string {
@@ -223,12 +230,12 @@
 ): Outcome | undefined {
 	if (request.expiry === undefined) {
 		return options.defaultLifetime === undefined
-			? refuseHere(createRefusal(ErrorCode.KeyExpiryRequired))
+			? refuseUnsent(createRefusal(ErrorCode.KeyExpiryRequired))
 			: undefined;
 	}
 
 	return request.expiry - wallTime > options.maximumLifetime
-		? refuseHere(createRefusal(ErrorCode.KeyExpiryTooFar))
+		? refuseUnsent(createRefusal(ErrorCode.KeyExpiryTooFar))
 		: undefined;
 }
 
@@ -244,12 +251,12 @@
 	request: LedgerRequest,
 ): Outcome | undefined {
 	if (request.fingerprint !== entry.fingerprint) {
-		return admitUnknown(createRefusal(ErrorCode.KeyReused));
+		return createUnknownOutcome(createRefusal(ErrorCode.KeyReused));
 	}
 
 	return request.expiry === undefined || request.expiry === entry.expiry
 		? undefined
-		: admitUnknown(
+		: createUnknownOutcome(
 				createRefusal(ErrorCode.KeyReused, {
 					detail: 'the idempotency key was first sent with another expiry',
 				}),
@@ -257,11 +264,11 @@
 }
 
 function expired(): Outcome {
-	return admitUnknown(createRefusal(ErrorCode.KeyExpired));
+	return createUnknownOutcome(createRefusal(ErrorCode.KeyExpired));
 }
 
 function full(retryAfter: number): Outcome {
-	return refuseHere(createRefusal(ErrorCode.LedgerFull, {retryAfter}));
+	return refuseUnsent(createRefusal(ErrorCode.LedgerFull, {retryAfter}));
 }
 
 function repeatAnswer(answer: Answer): Outcome {
--- a/packages/node/__tests__/entry.spec.ts
+++ b/packages/node/__tests__/entry.spec.ts
@@ -2,10 +2,10 @@
 import {createLedger} from '@egretspoke/ledger';
 import {
 	acceptCertifiedRefusal,
-	admitUnknown,
+	createUnknownOutcome,
 	createRefusal,
 	ErrorCode,
-	refuseNotRun,
+	createNotRunOutcome,
 	type Outcome,
 } from '@egretspoke/protocol';
 import {egretspokePolicy} from '@egretspoke/decisions';
@@ -15,11 +15,11 @@
 import {createRunningRequests} from '../src/running-requests.js';
 import {createLoneQuarantine} from './lone-quarantine.js';
 
-const refusedElsewhere = refuseNotRun(
+const refusedElsewhere = createNotRunOutcome(
 	acceptCertifiedRefusal('peer'),
 	createRefusal(ErrorCode.Leaving, {retryAfter: 0}),
 );
-const lost = admitUnknown(createRefusal(ErrorCode.AnswerLost));
+const lost = createUnknownOutcome(createRefusal(ErrorCode.AnswerLost));
 
 /** An entry whose attempts end as listed, each at another target. */
 function createEntryWith(
--- a/packages/node/__tests__/observing-reporter.spec.ts
+++ b/packages/node/__tests__/observing-reporter.spec.ts
@@ -4,7 +4,11 @@
 	createMetrics,
 	type NodeReadings,
 } from '@egretspoke/observability';
-import {admitUnknown, createRefusal, ErrorCode} from '@egretspoke/protocol';
+import {
+	createUnknownOutcome,
+	createRefusal,
+	ErrorCode,
+} from '@egretspoke/protocol';
 import {createVirtualClock} from '@egretspoke/shared';
 import {expect} from 'chai';
 import {createObservingReporter} from '../src/index.js';
@@ -75,7 +79,7 @@
 			request: 'r1',
 			service: 'orders',
 			requestClass: 'normal',
-			outcome: admitUnknown(createRefusal(ErrorCode.AnswerLost)),
+			outcome: createUnknownOutcome(createRefusal(ErrorCode.AnswerLost)),
 			duration: 5,
 			role: 'entry',
 		});
--- a/packages/node/src/attempt-idempotent.ts
+++ b/packages/node/src/attempt-idempotent.ts
@@ -3,7 +3,11 @@
  * tried after a definite refusal and after a lost answer alike.
  */
 import {createAttemptTicket} from '@egretspoke/ledger';
-import {admitUnknown, ErrorCode, type Outcome} from '@egretspoke/protocol';
+import {
+	createUnknownOutcome,
+	ErrorCode,
+	type Outcome,
+} from '@egretspoke/protocol';
 import {createAttempts, type AttemptsContext} from './attempts.js';
 import type {EntryCall} from './request-chain.js';
 
@@ -40,7 +44,7 @@
 		const refusal = await attempts.retry(outcome.refusal, signal);
 		if (refusal) {
 			attempts.finish();
-			return mayHaveRun ? admitUnknown(refusal) : {...outcome, refusal};
+			return mayHaveRun ? createUnknownOutcome(refusal) : {...outcome, refusal};
 		}
 	}
 }
--- a/packages/node/src/attempt-sender.ts
+++ b/packages/node/src/attempt-sender.ts
@@ -27,7 +27,7 @@
 ) => Promise<ExchangeResult>;
 
 /** The right to send. */
-export type SendTicket = Pick<HandOverTicket, 'handOver' | 'surrender'>;
+export type SendTicket = Pick<HandOverTicket, 'handOver' | 'revoke'>;
 
 /** How an attempt ended and where it went. */
 export type SentAttempt = {
--- a/packages/node/src/entry-refusal.ts
+++ b/packages/node/src/entry-refusal.ts
@@ -1,9 +1,9 @@
 /** Refusals of attempts that never left this process. */
 import {
-	admitUnknown,
+	createUnknownOutcome,
 	createHandOverTicket,
 	createRefusal,
-	refuseNotRun,
+	createNotRunOutcome,
 	type ErrorCode,
 	type Outcome,
 } from '@egretspoke/protocol';
@@ -19,10 +19,10 @@
 		...(detail !== undefined && {detail}),
 	});
 	return createHandOverTicket()
-		.surrender()
+		.revoke()
 		.match<Outcome>(
-			(proof) => refuseNotRun(proof, refusal),
-			() => admitUnknown(refusal),
+			(proof) => createNotRunOutcome(proof, refusal),
+			() => createUnknownOutcome(refusal),
 		);
 }
 
@@ -32,7 +32,7 @@
  * may have run, would take it for the request.
  */
 export function refuseUnknown(code: ErrorCode, retryAfter?: number): Outcome {
-	return admitUnknown(
+	return createUnknownOutcome(
 		createRefusal(code, {...(retryAfter !== undefined && {retryAfter})}),
 	);
 }
--- a/packages/node/src/exchange-table.ts
+++ b/packages/node/src/exchange-table.ts
@@ -10,10 +10,10 @@
  */
 import {
 	acceptCertifiedRefusal,
-	admitUnknown,
+	createUnknownOutcome,
 	createRefusal,
 	ErrorCode,
-	refuseNotRun,
+	createNotRunOutcome,
 	type AnswerMessage,
 	type LoadReport,
 	type Message,
@@ -132,7 +132,7 @@
 	answered(message) {
 		const {status, headers, body, length, repeated} = message;
 		if (status === undefined || body?.length !== length) {
-			return admitUnknown(createRefusal(ErrorCode.AnswerCut));
+			return createUnknownOutcome(createRefusal(ErrorCode.AnswerCut));
 		}
 
 		return {
@@ -142,8 +142,8 @@
 		};
 	},
 	notRun: (message) =>
-		refuseNotRun(acceptCertifiedRefusal('peer'), readRefusal(message)),
-	unknown: (message) => admitUnknown(readRefusal(message)),
+		createNotRunOutcome(acceptCertifiedRefusal('peer'), readRefusal(message)),
+	unknown: (message) => createUnknownOutcome(readRefusal(message)),
 };
 
 function readAnswer(message: AnswerMessage): ExchangeResult {
@@ -167,7 +167,7 @@
 export function notSent(): ExchangeResult {
 	return {
 		isUnsent: true,
-		outcome: refuseNotRun(
+		outcome: createNotRunOutcome(
 			acceptCertifiedRefusal('connectRefused'),
 			createRefusal(ErrorCode.TargetUnreachable, {retryAfter: 0}),
 		),
@@ -175,5 +175,5 @@
 }
 
 function lost(code: ErrorCode): ExchangeResult {
-	return {outcome: admitUnknown(createRefusal(code))};
+	return {outcome: createUnknownOutcome(createRefusal(code))};
 }
--- a/packages/node/src/ingress.ts
+++ b/packages/node/src/ingress.ts
@@ -3,7 +3,7 @@
  * entry, passes the admission here and is handed over at most once.
  */
 import {
-	admitUnknown,
+	createUnknownOutcome,
 	createHandOverTicket,
 	createRefusal,
 	ErrorCode,
@@ -128,7 +128,7 @@
 		isLeaving ? ErrorCode.Leaving : context.refusalOf();
 
 	const refuseQuarantined = () =>
-		admitUnknown(createRefusal(ErrorCode.Quarantined));
+		createUnknownOutcome(createRefusal(ErrorCode.Quarantined));
 
 	/** One of those that may crash the target runs at a time. */
 	const runApart = async (
--- a/packages/node/src/peer-connection.ts
+++ b/packages/node/src/peer-connection.ts
@@ -10,7 +10,7 @@
 	type Message,
 	type ProbeMessage,
 	type SuspectsMessage,
-	admitUnknown,
+	createUnknownOutcome,
 } from '@egretspoke/protocol';
 import {
 	createExchangeTable,
@@ -87,7 +87,7 @@
 		const {exchange} = message;
 		if (served.size >= openCallLimit || served.has(exchange)) {
 			const outcome = {
-				outcome: admitUnknown(createRefusal(ErrorCode.Overloaded)),
+				outcome: createUnknownOutcome(createRefusal(ErrorCode.Overloaded)),
 			};
 			channel.send(writeAnswer(exchange, outcome));
 			return;
--- a/packages/node/src/target-outcome.ts
+++ b/packages/node/src/target-outcome.ts
@@ -2,10 +2,10 @@
 import type {Completion} from '@egretspoke/decisions';
 import {
 	acceptCertifiedRefusal,
-	admitUnknown,
+	createUnknownOutcome,
 	createRefusal,
 	ErrorCode,
-	refuseNotRun,
+	createNotRunOutcome,
 	type LoadReport,
 	type Outcome,
 } from '@egretspoke/protocol';
@@ -46,18 +46,19 @@
 const outcomeReaders: OutcomeReaders = {
 	answer: ({answer}) => ({kind: 'answered', answer}),
 	shed: ({retryAfter}, load) =>
-		refuseNotRun(
+		createNotRunOutcome(
 			acceptCertifiedRefusal('target'),
 			createRefusal(ErrorCode.TargetShed, {
 				retryAfter: retryAfter ?? Math.ceil(load.serviceTime),
 			}),
 		),
 	unreachable: ({detail}) =>
-		refuseNotRun(
+		createNotRunOutcome(
 			acceptCertifiedRefusal('connectRefused'),
 			createRefusal(ErrorCode.TargetUnreachable, {detail, retryAfter: 0}),
 		),
 	lost: ({detail}) =>
-		admitUnknown(createRefusal(ErrorCode.AnswerLost, {detail})),
-	cut: ({detail}) => admitUnknown(createRefusal(ErrorCode.AnswerCut, {detail})),
+		createUnknownOutcome(createRefusal(ErrorCode.AnswerLost, {detail})),
+	cut: ({detail}) =>
+		createUnknownOutcome(createRefusal(ErrorCode.AnswerCut, {detail})),
 };
--- a/packages/node/src/ticket-refusal.ts
+++ b/packages/node/src/ticket-refusal.ts
@@ -1,8 +1,8 @@
 /** Refusals of requests whose hand-over ticket is in hand. */
 import {
-	admitUnknown,
+	createUnknownOutcome,
 	createRefusal,
-	refuseNotRun,
+	createNotRunOutcome,
 	type ErrorCode,
 	type HandOverTicket,
 	type Outcome,
@@ -19,15 +19,15 @@
 
 /** Says "not run" if the ticket still proves it, and "unknown" if it doesn't. */
 export function refuseTicket(
-	ticket: Pick<HandOverTicket, 'surrender'>,
+	ticket: Pick<HandOverTicket, 'revoke'>,
 	{code, reason, retryAfter}: RefusalReason,
 ): Outcome {
 	const refusal = createRefusal(code, {
 		retryAfter,
 		...(reason !== undefined && {detail: reason}),
 	});
-	return ticket.surrender().match<Outcome>(
-		(proof) => refuseNotRun(proof, refusal),
-		() => admitUnknown(refusal),
+	return ticket.revoke().match<Outcome>(
+		(proof) => createNotRunOutcome(proof, refusal),
+		() => createUnknownOutcome(refusal),
 	);
 }
--- a/packages/protocol/src/outcome.ts
+++ b/packages/protocol/src/outcome.ts
@@ -43,13 +43,13 @@
 	/** Takes the ticket for a dispatch; false when it was surrendered before. */
 	handOver(): boolean;
 	/** Gives up the dispatch for good; fails once the request was handed over. */
-	surrender(): Result<NotRunProof, 'handedOver'>;
-	state(): 'held' | 'handedOver' | 'surrendered';
+	revoke(): Result<NotRunProof, 'handedOver'>;
+	state(): 'held' | 'handedOver' | 'revoked';
 };
 
 /** Creates a ticket that is still held. */
 export function createHandOverTicket(): HandOverTicket {
-	let state: 'held' | 'handedOver' | 'surrendered' = 'held';
+	let state: 'held' | 'handedOver' | 'revoked' = 'held';
 	return {
 		handOver() {
 			if (state !== 'held') {
@@ -59,12 +59,12 @@
 			state = 'handedOver';
 			return true;
 		},
-		surrender() {
+		revoke() {
 			if (state === 'handedOver') {
 				return err('handedOver');
 			}
 
-			state = 'surrendered';
+			state = 'revoked';
 			return ok(proof);
 		},
 		state: () => state,
@@ -95,12 +95,15 @@
 }
 
 /** Says that the request was not run. */
-export function refuseNotRun(proof: NotRunProof, refusal: Refusal): Outcome {
+export function createNotRunOutcome(
+	proof: NotRunProof,
+	refusal: Refusal,
+): Outcome {
 	return {kind: 'notRun', proof, refusal};
 }
 
 /** Says that nobody here knows whether the request ran. */
-export function admitUnknown(refusal: Refusal): Outcome {
+export function createUnknownOutcome(refusal: Refusal): Outcome {
 	return {kind: 'unknown', refusal};
 }
 
