--- a/packages/quarantine/__tests__/local-suspects.spec.ts
+++ b/packages/quarantine/__tests__/local-suspects.spec.ts
@@ -14,37 +14,37 @@
 });
 
 describe('the suspects that a node stores', () => {
-	it('are parsed as they were serialized', () => {
+	it('are read as they were written', () => {
 		const clock = createVirtualClock();
-		const suspects = createLocalSuspects(clock);
-		suspects.record([suspect('a'), suspect('b', 3)]);
-		suspects.record([suspect('a', 2)]);
-		expect(parseLocalSuspects(suspects.serialize(), clock)).to.deep.equal([
+		const noted = createLocalSuspects(clock);
+		noted.record([suspect('a'), suspect('b', 3)]);
+		noted.record([suspect('a', 2)]);
+		expect(parseLocalSuspects(noted.serialize(), clock)).to.deep.equal([
 			suspect('b', 3),
 			suspect('a', 2),
 		]);
 	});
 
-	it('are bounded; those in quarantine are retained first, then the latest', () => {
+	it('are bounded, those in quarantine kept first, then the latest', () => {
 		const clock = createVirtualClock();
-		const suspects = createLocalSuspects(clock);
-		suspects.record([suspect('deadly', 3)]);
+		const noted = createLocalSuspects(clock);
+		noted.record([suspect('deadly', 3)]);
 		for (let index = 0; index < 1000; index++) {
-			suspects.record([suspect(`bystander-${index}`)]);
+			noted.record([suspect(`bystander-${index}`)]);
 		}
 
-		const parsed = parseLocalSuspects(suspects.serialize(), clock)!;
-		expect(parsed).to.have.length(128);
-		expect(parsed).to.deep.include(suspect('deadly', 3));
-		expect(parsed).to.deep.include(suspect('bystander-999'));
+		const read = parseLocalSuspects(noted.serialize(), clock)!;
+		expect(read).to.have.length(128);
+		expect(read).to.deep.include(suspect('deadly', 3));
+		expect(read).to.deep.include(suspect('bystander-999'));
 	});
 
 	it('are restored at a restart, before those recorded since', () => {
 		const clock = createVirtualClock();
-		const suspects = createLocalSuspects(clock);
-		suspects.record([suspect('a', 2)]);
-		suspects.restore([suspect('a'), suspect('b', 3)]);
-		expect(parseLocalSuspects(suspects.serialize(), clock)).to.deep.equal([
+		const noted = createLocalSuspects(clock);
+		noted.record([suspect('a', 2)]);
+		noted.restore([suspect('a'), suspect('b', 3)]);
+		expect(parseLocalSuspects(noted.serialize(), clock)).to.deep.equal([
 			suspect('a', 2),
 			suspect('b', 3),
 		]);
@@ -52,20 +52,20 @@
 
 	it('are dropped when their text is outdated', () => {
 		const clock = createVirtualClock();
-		const suspects = createLocalSuspects(clock);
-		suspects.record([suspect('a', 3)]);
-		const text = suspects.serialize();
+		const noted = createLocalSuspects(clock);
+		noted.record([suspect('a', 3)]);
+		const text = noted.serialize();
 		clock.advanceTo(retentionPeriod + 1);
 		expect(parseLocalSuspects(text, clock)).to.deep.equal([]);
 	});
 
 	for (const text of [
-		'not JSON',
+		'rubbish',
 		'{}',
 		'{"at":0,"suspects":[["",0,1]]}',
 		'{"at":0,"suspects":[["a",-1,1]]}',
 	]) {
-		it(`are not parsed from ${text}`, () => {
+		it(`are not read from ${text}`, () => {
 			expect(parseLocalSuspects(text, createVirtualClock())).to.equal(
 				undefined,
 			);
--- a/packages/quarantine/src/local-suspects.ts
+++ b/packages/quarantine/src/local-suspects.ts
@@ -31,20 +31,20 @@
 		entries = new Map(suspects.map((suspect) => [suspect.identity, suspect]));
 	};
 
-	/** Drops the oldest suspects beyond the maximum, those not in quarantine first. */
+	/** Keeps those in quarantine first, then the latest. */
 	const trim = () => {
 		if (entries.size <= maxSuspects) {
 			return;
 		}
 
 		const latestFirst = [...entries.values()].reverse();
-		const retained = latestFirst
+		const kept = latestFirst
 			.sort(
 				(left, right) =>
 					Number(isQuarantined(right)) - Number(isQuarantined(left)),
 			)
 			.slice(0, maxSuspects);
-		replace(retained.reverse());
+		replace(kept.reverse());
 	};
 
 	return {
@@ -79,8 +79,8 @@
 	}
 
 	const {at, suspects} = parsed.data;
-	const isOutdated = clock.date().getTime() - at > retentionPeriod;
-	return isOutdated ? [] : suspects.map((tuple) => toSuspect(tuple));
+	const isOld = clock.date().getTime() - at > retentionPeriod;
+	return isOld ? [] : suspects.map((tuple) => toSuspect(tuple));
 }
 
 function parseJson(text: string): unknown {
--- a/packages/quarantine/src/quarantine.ts
+++ b/packages/quarantine/src/quarantine.ts
@@ -55,7 +55,7 @@
 	const {clock, broadcast, persist} = options;
 	const table = createSuspectTable();
 	/** Suspects in quarantine that were looked up since the last call of `renew`. */
-	const lookedUp = new Map<RequestIdentity, Suspect>();
+	const refused = new Map<RequestIdentity, Suspect>();
 
 	const notifyQuarantined = (suspects: readonly Suspect[]) => {
 		for (const suspect of suspects) {
@@ -82,7 +82,7 @@
 		lookUp(path, bodyLength, partsOf) {
 			const suspect = lookUp(path, bodyLength, partsOf);
 			if (suspect && isQuarantined(suspect)) {
-				lookedUp.set(suspect.identity, suspect);
+				refused.set(suspect.identity, suspect);
 			}
 
 			return suspect;
@@ -119,9 +119,9 @@
 			table.expire(clock.now());
 		},
 		renew() {
-			if (lookedUp.size > 0) {
-				persist([...lookedUp.values()]);
-				lookedUp.clear();
+			if (refused.size > 0) {
+				persist([...refused.values()]);
+				refused.clear();
 			}
 		},
 	};
