--- a/packages/ledger/src/answer-store.ts
+++ b/packages/ledger/src/answer-store.ts
@@ -1,14 +1,16 @@
 /**
- * The recorded answers, within a bound of bytes. The oldest go first; the
- * ledger still knows that their requests ran, and says so.
+ * Stores recorded answers up to a maximum number of bytes. The oldest answers
+ * are evicted first; the ledger still records that their requests ran, and
+ * reports that to repeats.
  */
 import type {Answer} from '@egretspoke/protocol';
 
-/** Answers by the id of their entry. */
+/** Answers by the id of their ledger entry. */
 export type AnswerStore = {
 	add(id: string, answer: Answer): void;
 	get(id: string): Answer | undefined;
 	remove(id: string): void;
+	/** Returns the bytes of all stored answers. */
 	bytes(): number;
 };
 
@@ -55,7 +57,7 @@
 	return size;
 }
 
-/** A body is often a view of a much larger receive buffer, which must not be kept. */
+/** Copies the body, which is often a view of a much larger receive buffer that must not be retained. */
 function copy(answer: Answer): Answer {
 	return {...answer, body: Uint8Array.from(answer.body)};
 }
--- a/packages/ledger/src/attempt-at-most-once.ts
+++ b/packages/ledger/src/attempt-at-most-once.ts
@@ -1,8 +1,8 @@
 /**
- * The one place that decides whether a non-idempotent request may be handed to
- * a target, and whether it may be tried again. The rule: a key is dispatched by
- * one attempt only, and a second target is tried only after a definite refusal
- * of the first.
+ * The only place that decides whether a non-idempotent request may be handed
+ * over to a target, and whether it may be retried. A key is dispatched by one
+ * attempt only, and a second target is tried only after a definite refusal by
+ * the first.
  */
 import {
 	createUnknownOutcome,
@@ -17,41 +17,42 @@
 import {createStillRunningOutcome} from './ledger.js';
 import type {Ledger, LedgerRequest, LedgerRun} from './ledger-decision.js';
 
-/** One try at one target. */
+/** One attempt at one target. */
 export type Attempt = {
 	/** Counts from 1. */
 	number: number;
-	/** Must be handed over in the same turn in which the request leaves. */
+	/** Call its `handOver` in the same turn in which the request is sent. */
 	ticket: AttemptTicket;
 	/**
-	 * Aborts at the deadline, and when the caller goes before the hand-over.
-	 * After it the request is let finish, so that a repeat finds its answer.
+	 * Aborts at the deadline, and when the caller disconnects before the
+	 * hand-over. A request that was handed over may finish after its caller has
+	 * disconnected, so that a repeat receives its answer.
 	 */
 	signal: AbortSignal;
 };
 
-/** What the caller of the rule brings along. */
+/** Options of an attempt. */
 export type AttemptOptions = {
 	clock: Clock;
 	ledger: Ledger;
 	request: LedgerRequest;
-	/** On the monotonic clock. */
+	/** In milliseconds on the monotonic clock. */
 	deadline: number;
-	/** Aborted when the caller has gone. */
+	/** Aborted when the caller has disconnected. */
 	signal: AbortSignal;
-	/** Chooses a target and sends the request to it. Resolves with how that ended. */
+	/** Selects a target and sends the request to it; resolves with the outcome. */
 	dispatch(attempt: Attempt): Promise<Outcome>;
 	/**
-	 * Asked after a definite refusal only: resolves with nothing to try another
-	 * target, once any back-off has passed, or with the refusal to answer with.
+	 * Called only after a definite refusal. Resolves with undefined, after any
+	 * backoff, to try another target, or with the refusal to return to the caller.
 	 */
 	retry(refusal: Refusal, attempt: number): Promise<Refusal | undefined>;
 };
 
-/** Handles one attempt of a caller at a non-idempotent request; never rejects. */
+/** Handles one attempt of a caller at a non-idempotent request; the promise never rejects. */
 export type AttemptHandler = (options: AttemptOptions) => Promise<Outcome>;
 
-/** Handles an attempt at the home of its key. */
+/** Handles an attempt at the home of its key, by the decision of the ledger. */
 export const attemptAtMostOnce: AttemptHandler = async (options) => {
 	const decision = options.ledger.begin(options.request);
 	if (decision.kind === 'settled') {
@@ -64,8 +65,8 @@
 };
 
 /**
- * Answers the caller by its deadline; the run itself is followed to its end,
- * so that the ledger learns of an answer that comes late.
+ * Runs the first attempt at a key. Resolves at the deadline at the latest; the
+ * run itself is awaited to its end, so that the ledger records a late answer.
  */
 async function runFirst(
 	options: AttemptOptions,
@@ -73,7 +74,7 @@
 ): Promise<Outcome> {
 	const ticketSource = createTicketSource(options, run);
 	const deadlinePassed = new AbortController();
-	const follow = async () => {
+	const runToEnd = async () => {
 		const outcome = await tryTargets(
 			options,
 			ticketSource,
@@ -83,7 +84,7 @@
 		return outcome;
 	};
 
-	return raceDeadline(options, follow(), () => {
+	return raceDeadline(options, runToEnd(), () => {
 		const outcome = endAtDeadline(ticketSource.current());
 		if (outcome.kind === 'notRun') {
 			record(run, outcome);
@@ -96,7 +97,7 @@
 
 type TicketSource = {
 	current(): AttemptTicket;
-	/** Replaces a ticket whose target has definitely refused. */
+	/** Replaces the ticket after its target has definitely refused. */
 	renew(): void;
 };
 
@@ -127,15 +128,15 @@
 			return endUnsent(ticket, obstacle);
 		}
 
-		// eslint-disable-next-line no-await-in-loop -- a second target is tried only after the first has refused.
+		// eslint-disable-next-line no-await-in-loop -- a second target is tried only after a refusal by the first.
 		const outcome = await tryTarget(options, {number, ticket}, deadlinePassed);
-		if (outcome.kind !== 'notRun' || isOwnFault(outcome.refusal)) {
+		if (outcome.kind !== 'notRun' || isInternalError(outcome.refusal)) {
 			return outcome;
 		}
 
 		ticketSource.renew();
-		// eslint-disable-next-line no-await-in-loop -- the back-off comes before the next attempt.
-		const refusal = await askRetry(options, outcome.refusal, number);
+		// eslint-disable-next-line no-await-in-loop -- the backoff comes before the next attempt.
+		const refusal = await decideRetry(options, outcome.refusal, number);
 		if (refusal) {
 			return createNotRunOutcome(outcome.proof, refusal);
 		}
@@ -148,30 +149,30 @@
 	deadlinePassed: AbortSignal,
 ): Promise<Outcome> {
 	const {ticket} = attempt;
-	const given = new AbortController();
-	const giveUp = () => {
-		given.abort();
+	const controller = new AbortController();
+	const abort = () => {
+		controller.abort();
 	};
 
-	const callerGone = () => {
+	const abortUnsent = () => {
 		if (ticket.state() !== 'handedOver') {
-			given.abort();
+			controller.abort();
 		}
 	};
 
-	deadlinePassed.addEventListener('abort', giveUp);
-	options.signal.addEventListener('abort', callerGone);
+	deadlinePassed.addEventListener('abort', abort);
+	options.signal.addEventListener('abort', abortUnsent);
 	try {
-		return await options.dispatch({...attempt, signal: given.signal});
+		return await options.dispatch({...attempt, signal: controller.signal});
 	} catch (error) {
 		return endFailed(ticket, error);
 	} finally {
-		deadlinePassed.removeEventListener('abort', giveUp);
-		options.signal.removeEventListener('abort', callerGone);
+		deadlinePassed.removeEventListener('abort', abort);
+		options.signal.removeEventListener('abort', abortUnsent);
 	}
 }
 
-/** A dispatch that threw proves nothing, unless its ticket is still held. */
+/** Handles a dispatch that threw; the request was not run only if its ticket is still held. */
 function endFailed(ticket: AttemptTicket, error: unknown): Outcome {
 	return endUnsent(
 		ticket,
@@ -196,12 +197,12 @@
 	);
 }
 
-/** A fault of this node would only repeat itself, and at once. */
-function isOwnFault(refusal: Refusal): boolean {
+/** An internal error of this node would recur immediately, so it is not retried. */
+function isInternalError(refusal: Refusal): boolean {
 	return refusal.code === ErrorCode.Internal;
 }
 
-async function askRetry(
+async function decideRetry(
 	options: AttemptOptions,
 	refusal: Refusal,
 	number: number,
@@ -228,9 +229,9 @@
 }
 
 /**
- * A repeat waits for the first attempt within its own deadline. When the first
- * was given up before it ran, for a reason of its own caller's, the repeat is
- * made an attempt in its place.
+ * Waits for the first attempt until the deadline of the repeat. If the first
+ * attempt was cancelled before it ran, for a reason of its own caller, the
+ * repeat replaces it.
  */
 async function waitForFirst(
 	options: AttemptOptions,
@@ -242,18 +243,16 @@
 		createStillRunningOutcome,
 	);
 	return outcome.kind === 'notRun' &&
-		ownReasons.has(outcome.refusal.code) &&
+		callerReasons.has(outcome.refusal.code) &&
 		!options.signal.aborted
 		? attemptAtMostOnce(options)
 		: outcome;
 }
 
-const ownReasons = new Set([ErrorCode.CallerGone, ErrorCode.DeadlinePassed]);
+/** Reasons that apply to the caller of one attempt, not to its repeats. */
+const callerReasons = new Set([ErrorCode.CallerGone, ErrorCode.DeadlinePassed]);
 
-/**
- * Resolves with the settlement, or at the deadline with what the caller is
- * told then, whichever comes first.
- */
+/** Resolves with the settled outcome, or at the deadline with that of `atDeadline`, whichever comes first. */
 async function raceDeadline(
 	options: AttemptOptions,
 	settled: Promise<Outcome>,
--- a/packages/ledger/src/attempt-ticket.ts
+++ b/packages/ledger/src/attempt-ticket.ts
@@ -1,9 +1,9 @@
 /**
- * A hand-over ticket that looks at the clock at the last moment. What goes
- * wrong without it: a node is frozen while it holds a request, its caller is
- * told that the deadline passed, and the node wakes and dispatches. One notices
- * a booking that appears minutes after it was given up. Timers that came due
- * during the freeze may run after the dispatch, so the clock itself is read.
+ * A hand-over ticket that checks the deadline immediately before the hand-over.
+ * Failure without it: a node is frozen while it holds a request, its caller
+ * receives a passed deadline, and the node resumes and dispatches: a booking
+ * appears minutes after it was reported as failed. Timers that expired during
+ * the freeze may run after the dispatch, so the clock itself is read.
  */
 import {
 	createHandOverTicket,
@@ -14,24 +14,24 @@
 } from '@egretspoke/protocol';
 import type {Clock} from '@egretspoke/shared';
 
-/** What ends the right to hand over. */
+/** Limits after which a ticket can no longer be handed over. */
 export type TicketLimits = {
 	clock: Clock;
-	/** On the monotonic clock. */
+	/** In milliseconds on the monotonic clock. */
 	deadline: number;
-	/** Aborted when the caller has gone. */
+	/** Aborted when the caller has disconnected. */
 	signal?: AbortSignal | undefined;
-	/** True once the key has expired; absent for a request without a key. */
+	/** Returns true once the key has expired; absent for a request without a key. */
 	isExpired?: (() => boolean) | undefined;
 };
 
-/** A ticket with the reason for which it was refused at the hand-over. */
+/** A ticket with the reason that prevents its hand-over. */
 export type AttemptTicket = HandOverTicket & {
-	/** Undefined while nothing speaks against the hand-over. */
+	/** Returns the refusal that prevents the hand-over; undefined when there is none. */
 	obstacle(): Refusal | undefined;
 };
 
-/** Creates a ticket that can't be handed over past its limits. */
+/** Creates a ticket that cannot be handed over once one of its limits is reached. */
 export function createAttemptTicket(limits: TicketLimits): AttemptTicket {
 	const ticket = createHandOverTicket();
 	const obstacle = () => findObstacle(limits);
--- a/packages/ledger/src/expiry-index.ts
+++ b/packages/ledger/src/expiry-index.ts
@@ -1,46 +1,46 @@
 /**
- * When entries of the ledger may be forgotten. What goes wrong with one clock
- * alone: the wall clock is set back after a key was forgotten, the key looks
- * unexpired again, and its request runs a second time. So an entry is kept
- * until both the wall time of its key and the monotonic time since it came in
- * have passed, and no unknown key is taken whose expiry is not later than that
- * of a key already forgotten.
+ * Tracks when entries of the ledger may be removed. Failure with the wall clock
+ * alone: it is set back after a key was removed, the key appears unexpired, and
+ * its request runs a second time. So an entry is stored until its key has
+ * expired both by the wall clock and by the monotonic clock, and an unknown key
+ * is rejected unless it expires later than every key removed so far.
  */
 import type {Clock} from '@egretspoke/shared';
 
-/** What the index reads of an entry. */
+/** The fields of an entry that the index uses. */
 export type Expiring = {
 	/** Milliseconds since 1970. */
 	expiry: number;
-	/** The same instant on the monotonic clock, reckoned when it came in. */
+	/** The same instant on the monotonic clock, computed when the entry was created. */
 	expiresAt: number;
 };
 
-/** Entries in groups by the second in which they expire. */
+/** Entries grouped by the second in which they expire. */
 export type ExpiryIndex<T extends Expiring> = {
 	add(entry: T): void;
 	remove(entry: T): void;
-	/** Forgets what has expired on both clocks; at most once a second. */
+	/** Removes entries that have expired on both clocks; runs at most once per second. */
 	sweep(): void;
-	/** True when the entry has expired on either clock. */
+	/** Returns true when the entry has expired on either clock. */
 	isExpired(entry: T): boolean;
-	/** True when an unknown key with this expiry must be refused. */
+	/** Returns true when an unknown key with this expiry must be refused. */
 	hasPassed(expiry: number): boolean;
-	/** Milliseconds since 1970. */
+	/** Returns the wall clock in milliseconds since 1970. */
 	wallTime(): number;
-	/** Milliseconds until the first group expires; at least a second. */
+	/** Returns the milliseconds until the first group expires; at least a second. */
 	untilNextExpiry(): number;
 };
 
+/** Milliseconds. */
 const groupWidth = 1000;
 
-/** Creates an empty index. */
+/** Creates an empty index; `onRemove` is called for each entry that `sweep` removes. */
 export function createExpiryIndex<T extends Expiring>(
 	clock: Clock,
-	forget: (entry: T) => void,
+	onRemove: (entry: T) => void,
 ): ExpiryIndex<T> {
 	const groups = new Map<number, Set<T>>();
-	let forgottenThrough = Number.NEGATIVE_INFINITY;
+	let maxRemovedExpiry = Number.NEGATIVE_INFINITY;
 	let nextSweep = Number.NEGATIVE_INFINITY;
 
 	const wallTime = () => clock.date().getTime();
@@ -56,9 +56,9 @@
 	const sweepGroup = (group: Set<T>) => {
 		for (const entry of group) {
 			if (entry.expiresAt <= clock.now()) {
-				forgottenThrough = Math.max(forgottenThrough, entry.expiry);
+				maxRemovedExpiry = Math.max(maxRemovedExpiry, entry.expiry);
 				remove(entry);
-				forget(entry);
+				onRemove(entry);
 			}
 		}
 	};
@@ -85,7 +85,7 @@
 		},
 		isExpired: (entry) =>
 			wallTime() >= entry.expiry || clock.now() >= entry.expiresAt,
-		hasPassed: (expiry) => wallTime() >= expiry || expiry <= forgottenThrough,
+		hasPassed: (expiry) => wallTime() >= expiry || expiry <= maxRemovedExpiry,
 		wallTime,
 		untilNextExpiry() {
 			const first = Math.min(...groups.keys());
--- a/packages/ledger/src/ledger-decision.ts
+++ b/packages/ledger/src/ledger-decision.ts
@@ -1,9 +1,9 @@
-/** What the ledger says about one attempt, and the means to settle it. */
+/** The decision of the ledger about one attempt, and the functions that settle it. */
 import type {Answer, NotRunProof, Outcome, Refusal} from '@egretspoke/protocol';
 
-/** One attempt at a non-idempotent request, as it reaches its home. */
+/** One attempt at a non-idempotent request at the home of its key. */
 export type LedgerRequest = {
-	/** Keys of different services don't meet. */
+	/** Keys of different services are independent. */
 	service: string;
 	key: string;
 	/** From `fingerprintRequest`. */
@@ -13,32 +13,32 @@
 };
 
 /**
- * Settles the one run of a key. Settling twice is harmless: a later certain
- * end replaces `unknown`, and nothing replaces a certain end.
+ * Settles the only run of a key. It may be settled more than once: a later
+ * definite outcome replaces `unknown`, and a definite outcome is never replaced.
  */
 export type LedgerRun = {
 	/** Milliseconds since 1970, after which the request must not be handed over. */
 	expiry: number;
-	/** True once the key has expired on either clock. */
+	/** Returns true once the key has expired on either clock. */
 	isExpired(): boolean;
-	/** Frees the key for a later attempt. The proof says that no target ran it. */
+	/** Releases the key for a later attempt; requires a proof that no target ran the request. */
 	notRun(proof: NotRunProof, refusal: Refusal): void;
 	/** Records the answer for repeats. */
 	answered(answer: Answer): void;
-	/** Records that the request may have run; no attempt is ever made again. */
+	/** Records that the request may have run; no further attempt is made. */
 	unknown(refusal: Refusal): void;
 };
 
-/** What the ledger decides about an attempt. */
+/** How to handle an attempt. */
 export type LedgerDecision =
-	/** The first attempt: its holder dispatches, and nobody else. */
+	/** The first attempt: only the caller that receives this may dispatch. */
 	| {kind: 'run'; run: LedgerRun}
-	/** An earlier attempt is in progress; resolves when that one is settled. */
+	/** An earlier attempt is running; `settled` resolves with its outcome. */
 	| {kind: 'stillRunning'; settled: Promise<Outcome>}
-	/** The end of an earlier attempt, or a refusal. */
+	/** The outcome of an earlier attempt, or a refusal. */
 	| {kind: 'settled'; outcome: Outcome};
 
-/** What a ledger holds at the moment. */
+/** The current size of a ledger. */
 export type LedgerSize = {
 	keys: number;
 	running: number;
@@ -46,12 +46,14 @@
 	answerBytes: number;
 };
 
-/** The memory of one home; it lives and ends with the node's incarnation. */
+/** The ledger of one home; it exists for one incarnation of the node. */
 export type Ledger = {
+	/** Decides about an attempt, and adds an entry for a new key. */
 	begin(request: LedgerRequest): LedgerDecision;
 	/**
-	 * True when the request may have run here or may be about to: its key is held,
-	 * or has expired and may be forgotten. False proves that it has not run.
+	 * Returns true when the request may have run here or may still run: its key is
+	 * stored, or has expired and may have been removed. False proves that it has
+	 * not run.
 	 */
 	mayHaveRun(request: Omit<LedgerRequest, 'fingerprint'>): boolean;
 	size(): LedgerSize;
--- a/packages/ledger/src/ledger.ts
+++ b/packages/ledger/src/ledger.ts
@@ -1,13 +1,11 @@
 /**
- * The ledger of a home: for each key, whether its request was started here and
- * how it ended. What goes wrong without it: a boat owner's phone loses the
- * answer to a payment and sends it again, and the payment runs twice. One
- * notices two rows for one order. All attempts at a key reach the same home,
- * and its ledger lets exactly one of them dispatch.
- *
- * An entry leaves only by a proof that nothing ran, or when its key has
- * expired on both clocks. From then on the key is refused, so that forgetting
- * it can't allow a second run.
+ * The ledger of a home: records for each key whether its request was started
+ * here and how it ended. Failure without it: a client loses the answer to a
+ * payment and retries, and the payment runs twice (two rows for one order). All
+ * attempts at a key reach the same home, and its ledger lets exactly one of them
+ * dispatch. An entry is removed only by a proof that the request did not run, or
+ * once its key has createExpiredOutcome on both clocks; from then on the key is refused, so
+ * that the removal cannot allow a second run.
  */
 import {
 	createHandOverTicket,
@@ -29,22 +27,22 @@
 	LedgerRun,
 } from './ledger-decision.js';
 
-/** Bounds and lifetimes; durations in milliseconds. */
+/** Options of a ledger; durations in milliseconds. */
 export type LedgerOptions = {
 	clock: Clock;
-	/** The most keys held at once. */
+	/** Maximum number of keys. */
 	capacity: number;
-	/** The most bytes of recorded answers. */
+	/** Maximum bytes of recorded answers. */
 	bytesCapacity: number;
-	/** A key whose expiry lies further ahead is refused. */
+	/** A key that expires later than this from now is refused. */
 	maximumLifetime: number;
 	/**
-	 * The lifetime of a key that states no expiry, counted from its first
-	 * attempt. The promise then ends with it, because a later repeat can't be
-	 * told from a new key. When absent, such keys are refused.
+	 * The lifetime of a key without an expiry, from its first attempt. The
+	 * at-most-once guarantee ends with it, because a later repeat cannot be
+	 * distinguished from a new key. When absent, such keys are refused.
 	 */
 	defaultLifetime?: number;
-	/** Repeats that may wait for one running request; 32 when absent. */
+	/** Maximum number of repeats that wait for one running request; 32 when absent. */
 	waitersCapacity?: number;
 };
 
@@ -62,7 +60,7 @@
 };
 
 const defaultWaitersCapacity = 32;
-/** How long a caller is asked to wait before it asks again, in milliseconds. */
+/** Milliseconds after which a caller is advised to repeat a request that is still running. */
 const stillRunningRetryAfter = 1000;
 
 /** Creates an empty ledger. */
@@ -123,11 +121,14 @@
 		const expiry =
 			request.expiry ?? expiries.wallTime() + options.defaultLifetime!;
 		if (expiries.hasPassed(expiry)) {
-			return {kind: 'settled', outcome: expired()};
+			return {kind: 'settled', outcome: createExpiredOutcome()};
 		}
 
 		if (entries.size >= capacity) {
-			return {kind: 'settled', outcome: full(expiries.untilNextExpiry())};
+			return {
+				kind: 'settled',
+				outcome: createFullOutcome(expiries.untilNextExpiry()),
+			};
 		}
 
 		const entry: Entry = {
@@ -190,7 +191,7 @@
 			}
 
 			return expiries.isExpired(entry)
-				? {kind: 'settled', outcome: expired()}
+				? {kind: 'settled', outcome: createExpiredOutcome()}
 				: repeat(entry);
 		},
 		mayHaveRun: ({service, key, expiry}) =>
@@ -204,14 +205,14 @@
 	};
 }
 
-/** The end of a repeat that can't wait any longer for the first attempt. */
+/** Creates the outcome of a repeat that cannot wait any longer for the first attempt. */
 export function createStillRunningOutcome(): Outcome {
 	return createUnknownOutcome(
 		createRefusal(ErrorCode.StillRunning, {retryAfter: stillRunningRetryAfter}),
 	);
 }
 
-/** The end of an attempt that never left this process. */
+/** Creates the outcome of an attempt that was refused before it left this process. */
 export function refuseUnsent(refusal: Refusal): Outcome {
 	const proof = createHandOverTicket().revoke();
 	return proof.isOk()
@@ -240,11 +241,10 @@
 }
 
 /**
- * A key that stands for another request is refused, and so is the same request
- * under another expiry: its first entry could be forgotten while the later
- * expiry still lets a repeat in. Neither is told "not run". A caller that
- * writes its body anew for a repeat, with the fields in another order, means
- * the request that ran.
+ * Refuses a key that was first used for another request, or with another expiry:
+ * the entry could be removed while the later expiry still admits a repeat.
+ * Neither outcome is "not run", because a caller that serializes its body again
+ * for a repeat, with the fields in another order, refers to the request that ran.
  */
 function refuseMismatch(
 	entry: Entry,
@@ -263,11 +263,11 @@
 			);
 }
 
-function expired(): Outcome {
+function createExpiredOutcome(): Outcome {
 	return createUnknownOutcome(createRefusal(ErrorCode.KeyExpired));
 }
 
-function full(retryAfter: number): Outcome {
+function createFullOutcome(retryAfter: number): Outcome {
 	return refuseUnsent(createRefusal(ErrorCode.LedgerFull, {retryAfter}));
 }
 
