--- a/packages/ledger/__tests__/attempt-at-most-once.spec.ts
+++ b/packages/ledger/__tests__/attempt-at-most-once.spec.ts
@@ -18,9 +18,9 @@
 } from '../src/index.js';
 
 describe('attempts at a non-idempotent request', () => {
-	it('give every caller of one key the answer of the one run', async () => {
-		// A client sends the same booking again and again while the first is
-		// running. Each copy that were dispatched would book a shift.
+	it('return the answer of the only run to every caller of a key', async () => {
+		// Guards against duplicate bookings when a client repeats a booking while
+		// the first attempt is still running.
 		const home = create();
 		const attempts = Array.from({length: 20}, async () => home.attempt());
 		await home.clock.runTo(50);
@@ -41,8 +41,8 @@
 	});
 
 	it('are never repeated after a lost answer', async () => {
-		// The target charges the boat owner and its connection breaks before the
-		// answer. Tried at a second target, the payment would run twice.
+		// The target runs a payment, and its connection is lost before the answer.
+		// A retry at a second target would run the payment twice.
 		const home = create({
 			async dispatch(attempt) {
 				await home.run(attempt);
@@ -56,7 +56,7 @@
 		expect(home.ran()).to.equal(1);
 	});
 
-	it('end with the refusal when the retries are spent, and free the key', async () => {
+	it('end with the refusal when no retries are left, and release the key', async () => {
 		const home = create({
 			dispatch: async (attempt) => refuseAfterHandOver(attempt),
 			retry: async (refusal, number) => (number < 2 ? undefined : refusal),
@@ -67,9 +67,9 @@
 	});
 
 	it('are not dispatched by a home that was frozen past the deadline', async () => {
-		// The home is stopped while it holds a booking, and its caller gives up.
-		// On waking, work that was ready runs before the timers that are overdue;
-		// the booking would appear long after the caller was told of its end.
+		// The home is frozen while it holds a booking, and the deadline passes. When
+		// it resumes, pending work runs before overdue timers; the booking would
+		// appear long after its caller had received the refusal.
 		const home = create({
 			async dispatch(attempt) {
 				await sleep(home.frozen.clock, 10);
@@ -84,9 +84,9 @@
 		expect(home.ran()).to.equal(0);
 	});
 
-	it('are answered at the deadline, and a repeat finds the late answer', async () => {
-		// A booking takes longer than its caller waits. The caller must hear at
-		// once that it may have run, and its repeat must not book again.
+	it('are answered at the deadline, and a repeat receives the late answer', async () => {
+		// A booking takes longer than its deadline. The caller must immediately
+		// receive that it may have run, and its repeat must not book again.
 		const home = create({
 			async dispatch(attempt) {
 				const outcome = await home.run(attempt);
@@ -106,7 +106,7 @@
 		expect(home.ran()).to.equal(1);
 	});
 
-	it('are truthfully not run at the deadline while still waiting', async () => {
+	it('are not run when the deadline passes before the hand-over', async () => {
 		const home = create({
 			dispatch: async (attempt) => waitForever(attempt),
 		});
@@ -117,7 +117,7 @@
 		expect(home.ledger.size().keys).to.equal(0);
 	});
 
-	it('are not run at the deadline during the back-off after a refusal', async () => {
+	it('are not run when the deadline passes during the backoff after a refusal', async () => {
 		const home = create({
 			dispatch: async (attempt) => refuseAfterHandOver(attempt),
 			async retry() {
@@ -132,7 +132,7 @@
 		expect(home.ran()).to.equal(0);
 	});
 
-	it('stop waiting when the caller goes before the hand-over', async () => {
+	it('stop waiting when the caller disconnects before the hand-over', async () => {
 		const caller = new AbortController();
 		const home = create({
 			dispatch: async (attempt) => waitForever(attempt),
@@ -143,9 +143,9 @@
 		expect(kindOf(await first)).to.equal('notRun');
 	});
 
-	it('finish when the caller goes after the hand-over', async () => {
-		// A phone loses its connection while the payment runs, and repeats it.
-		// Had the payment been cancelled halfway, nobody could tell its end.
+	it('finish when the caller disconnects after the hand-over', async () => {
+		// A phone loses its connection while a payment runs, and repeats it. If the
+		// payment had been cancelled midway, its outcome would be unknown.
 		const caller = new AbortController();
 		const home = create();
 		const first = home.attempt({signal: caller.signal});
@@ -158,9 +158,9 @@
 		expect(home.ran()).to.equal(1);
 	});
 
-	it('let a waiting repeat take the place of a caller that went', async () => {
-		// The first copy waits in the queue when its connection breaks. Told "the
-		// caller has gone", the second copy's user would see a needless refusal.
+	it('let a waiting repeat replace an attempt whose caller has disconnected', async () => {
+		// The caller of the first attempt disconnects while it is queued. If the
+		// repeat shared its `CallerGone` outcome, it would be refused needlessly.
 		const caller = new AbortController();
 		let calls = 0;
 		const home = create({
@@ -176,9 +176,10 @@
 		expect(home.ran()).to.equal(1);
 	});
 
-	it('lose a refusal that races the dispatch', async () => {
-		// The deadline fires in the same turn in which the request is handed
-		// over. Whoever is second must not win, or a "not run" would have run.
+	it('are not dispatched when the deadline passes in the same turn', async () => {
+		// The deadline timer fires in the same turn in which the request is handed
+		// over. Only the first of both may take effect; otherwise a request that
+		// was reported as not run would have run.
 		const home = create({
 			async dispatch(attempt) {
 				await sleep(home.clock, 1000 - home.clock.now());
@@ -194,8 +195,8 @@
 	for (const handedOver of [false, true]) {
 		const kind = handedOver ? 'unknown' : 'notRun';
 		it(`end as ${kind} when the dispatch fails ${handedOver ? 'after' : 'before'} the hand-over`, async () => {
-			// A fault in the node throws in the middle of a dispatch. Only the
-			// ticket still tells whether the request had left.
+			// An error is thrown during a dispatch. Only the state of the ticket
+			// shows whether the request was already sent.
 			const home = create({
 				async dispatch(attempt) {
 					if (handedOver) {
@@ -233,7 +234,10 @@
 
 type Overrides = Partial<Pick<AttemptOptions, 'dispatch' | 'retry'>>;
 
-/** A home whose target takes 20 ms; `frozen` reads as a process that lost time. */
+/**
+ * Creates a home whose target takes 20 ms. A value of `frozen.now` ahead of the
+ * clock simulates a process that was frozen until then.
+ */
 function create(overrides: Overrides = {}) {
 	const clock = createVirtualClock();
 	const frozen = {now: 0, clock};
--- a/packages/ledger/__tests__/ledger.spec.ts
+++ b/packages/ledger/__tests__/ledger.spec.ts
@@ -21,7 +21,7 @@
 
 describe('ledger', () => {
 	describe('the first attempt', () => {
-		it('runs, and a second one is still running', () => {
+		it('runs, and a second one receives that it is still running', () => {
 			const {ledger, request} = create();
 			expect(ledger.begin(request()).kind).to.equal('run');
 			expect(ledger.begin(request()).kind).to.equal('stillRunning');
@@ -73,7 +73,7 @@
 			);
 		});
 
-		it('is told of an answer that came after the outcome was unknown', () => {
+		it('gets an answer that arrived after the outcome was unknown', () => {
 			const {ledger, request} = create();
 			const run = runOf(ledger.begin(request()));
 			run.unknown(createRefusal(ErrorCode.DeadlineWhileRunning));
@@ -84,8 +84,8 @@
 		});
 
 		it('with another body is refused and never answered from the ledger', () => {
-			// Two orders are sent under one key by a fault in the caller. Given the
-			// first order's receipt, its user would believe that the second ran.
+			// A faulty caller sends two orders under one key. With the receipt of the
+			// first order, the second would look completed without having run.
 			const {ledger, request} = create();
 			runOf(ledger.begin(request())).answered(answerOf('receipt 7'));
 			const other = {...request(), fingerprint: 'another'};
@@ -93,9 +93,9 @@
 			expect(outcomeOf(ledger.begin(other)).kind).to.equal('unknown');
 		});
 
-		it('under another expiry is refused without a claim that it was not run', () => {
-			// A caller that reckons a new expiry for each repeat would outlive the
-			// entry of its first attempt, and its payment would run a second time.
+		it('under another expiry is refused, but not as not run', () => {
+			// A caller that computes a new expiry for each repeat would still repeat
+			// after the entry was removed, and its payment would run a second time.
 			const {ledger, request} = create();
 			runOf(ledger.begin(request())).answered(answerOf('receipt 7'));
 			const later = {...request(), expiry: request().expiry! + 1};
@@ -103,7 +103,7 @@
 			expect(outcomeOf(ledger.begin(later)).kind).to.equal('unknown');
 		});
 
-		it('beyond the bound of waiters is told at once that it is still running', () => {
+		it('beyond the maximum number of waiters immediately ends as still running', () => {
 			const {ledger, request} = create({waitersCapacity: 2});
 			ledger.begin(request());
 			ledger.begin(request());
@@ -113,9 +113,9 @@
 	});
 
 	describe('expiry', () => {
-		it('refuses an expired key, whether or not it is still remembered', () => {
-			// A phone was off for the night and repeats its payment in the morning.
-			// The home has forgotten the key by then; taken for a new one, the
+		it('refuses an expired key, whether or not it is still stored', () => {
+			// A phone that was off overnight repeats its payment in the morning. The
+			// home has removed the key by then; if it counted as a new one, the
 			// payment would run twice.
 			const {ledger, request, clock} = create();
 			const old = request();
@@ -132,10 +132,10 @@
 			});
 		});
 
-		it('refuses a forgotten key after the wall clock was set back', () => {
-			// An operator corrects the clock of the machine by some minutes. A key
-			// that had expired looks unexpired again, its entry is gone, and without
-			// a guard its payment would run a second time.
+		it('refuses a removed key after the wall clock was set back', () => {
+			// An operator sets the clock of the machine back by some minutes. A key
+			// that had expired appears unexpired, its entry has been removed, and
+			// without a guard its payment would run a second time.
 			const {ledger, request, clock, wall} = create();
 			const old = request();
 			runOf(ledger.begin(old)).answered(answerOf('receipt 7'));
@@ -146,9 +146,9 @@
 			expect(codeOf(ledger.begin(old))).to.equal(ErrorCode.KeyExpired);
 		});
 
-		it('remembers a key while the wall clock was ahead for a moment', () => {
-			// The machine's clock jumps ahead for a second and comes back. Entries
-			// that were dropped in that second would let repeats run again.
+		it('retains a key while the wall clock is temporarily ahead', () => {
+			// The clock of the machine jumps ahead for a second and back. If entries
+			// were removed in that second, repeats would run again.
 			const {ledger, request, clock, wall} = create();
 			runOf(ledger.begin(request())).answered(answerOf('receipt 7'));
 			const old = request();
@@ -159,7 +159,7 @@
 			expect(outcomeOf(ledger.begin(old)).kind).to.equal('answered');
 		});
 
-		it('refuses a key that expires later than can be remembered', () => {
+		it('refuses a key that expires later than the maximum lifetime', () => {
 			const {ledger, request, wallTime} = create();
 			const far = {...request(), expiry: wallTime() + 61 * minute};
 			expect(codeOf(ledger.begin(far))).to.equal(ErrorCode.KeyExpiryTooFar);
@@ -174,7 +174,7 @@
 			expect(lenient.begin(bare).kind).to.equal('stillRunning');
 		});
 
-		it('forgets a run that was never settled once its key has expired', () => {
+		it('removes a run that was never settled once its key has expired', () => {
 			const {ledger, request, clock} = create();
 			const run = runOf(ledger.begin(request()));
 			clock.advanceTo(12 * minute);
@@ -185,10 +185,10 @@
 		});
 	});
 
-	describe('the question whether a request may have run', () => {
-		it('is answered by no only for a key that is neither held nor expired', () => {
-			// A paused home refuses new work. It has forgotten an expired key, and a
-			// plain "not run" to its repeat would deny a payment that was made.
+	describe('mayHaveRun', () => {
+		it('is false only for a key that is neither stored nor expired', () => {
+			// A suspended home refuses new work. It has removed an expired key, and an
+			// outcome of "not run" for a repeat would be false for a payment that ran.
 			const {ledger, request, clock} = create();
 			const old = request();
 			expect(ledger.mayHaveRun(old)).to.equal(false);
@@ -202,9 +202,9 @@
 	});
 
 	describe('bounds', () => {
-		it('refuses new keys when full, and evicts no live one', () => {
-			// A burst of bookings fills the home's memory. If room were made by
-			// dropping the oldest, its repeat would book the shift a second time.
+		it('refuses new keys when full, and evicts no unexpired one', () => {
+			// A burst of bookings fills the ledger. If the oldest key were evicted, its
+			// repeat would book a second time.
 			const {ledger, request, clock} = create({capacity: 2});
 			const [first, second, third] = ['a', 'b', 'c'].map((key) => request(key));
 			runOf(ledger.begin(first!)).answered(answerOf('booked'));
@@ -222,7 +222,7 @@
 			expect(ledger.begin(request('d', 30 * minute)).kind).to.equal('run');
 		});
 
-		it('drops old answers under byte pressure but not that they ran', () => {
+		it('evicts old answers at the byte limit, but still records that the requests ran', () => {
 			const {ledger, request} = create({bytesCapacity: 20});
 			for (const key of ['a', 'b', 'c']) {
 				runOf(ledger.begin(request(key))).answered(answerOf('0123456789'));
@@ -235,7 +235,7 @@
 			expect(outcomeOf(ledger.begin(request('c'))).kind).to.equal('answered');
 		});
 
-		it('does not keep an answer larger than all its room', () => {
+		it('does not store an answer larger than the byte limit', () => {
 			const {ledger, request} = create({bytesCapacity: 4});
 			runOf(ledger.begin(request())).answered(answerOf('0123456789'));
 			expect(ledger.size().answerBytes).to.equal(0);
@@ -244,7 +244,7 @@
 			);
 		});
 
-		it('holds its bounds and lets no key run twice in any order of events', () => {
+		it('respects its limits and runs no key twice in any order of events', () => {
 			const step = fc.record({
 				key: fc.constantFrom('a', 'b', 'c', 'd', 'e'),
 				lifetime: fc.constantFrom(1, 5),
--- a/packages/protocol/src/admin.ts
+++ b/packages/protocol/src/admin.ts
@@ -1,15 +1,15 @@
 /**
- * What the operator program and a node's admin listener say to each other:
- * HTTP with JSON, the secret of the settings as bearer token.
+ * The API between the operator program and a node's admin listener: HTTP with
+ * JSON, and the secret of the settings as bearer token.
  *
- * | call | answers |
+ * | request | answers |
  * | --- | --- |
  * | `POST /v1/plans` | 200 `Plan`, 422 `FindingsAnswer`, 503 `UnavailableAnswer` |
  * | `POST /v1/plans/<id>/confirm` | 200, 409 or 503 `ConfirmAnswer`, 404 |
  * | `GET /v1/status` | 200 `NodeStatus` |
  * | `GET /v1/targets` | 200 `TargetRow[]` |
  * | `GET /v1/explain/<request>` | 200 `Explanation`, 404 |
- * | `POST /v1/leave` | 202: the node's target takes no new work from now on |
+ * | `POST /v1/leave` | 202: the node's target receives no new requests from now on |
  * | `GET /metrics` | 200, Prometheus text |
  */
 import {z} from 'zod';
@@ -17,7 +17,7 @@
 
 export const planRequestSchema = z.object({
 	author: z.string().min(1),
-	/** The name of the operator's file, for the places of findings. */
+	/** The name of the operator's file, for the locations of findings. */
 	file: z.string(),
 	/** The intent document, YAML or JSON. */
 	document: z.string(),
@@ -28,14 +28,14 @@
 	path: z.string(),
 	before: z.string().optional(),
 	after: z.string().optional(),
-	/** What the change means for requests, in one sentence. */
+	/** The effect of the change on requests, in one sentence. */
 	effect: z.string(),
 });
 
 export const planSchema = z.object({
 	id: z.string(),
 	author: z.string(),
-	/** The accepted version that the plan was made against. */
+	/** The accepted version that the plan is based on. */
 	baseVersion: z.number().int().nonnegative(),
 	createdAt: z.string(),
 	changes: z.array(planChangeSchema),
@@ -65,7 +65,7 @@
 		detail: z.string(),
 	}),
 	z.object({
-		/** It may have been accepted; `settle` is the command that tells. */
+		/** It may have been accepted; `settle` is the command that finds out. */
 		result: z.literal('unknown'),
 		plan: z.string(),
 		detail: z.string(),
@@ -95,11 +95,11 @@
 	configuration: z.object({
 		version: z.number(),
 		checksum: z.string(),
-		/** `defaults` means that no accepted version could be had so far. */
+		/** `defaults` means that no accepted version has been received so far. */
 		source: z.enum(['defaults', 'platform', 'peer']),
 	}),
 	platform: z.enum(['reachable', 'unreachable', 'unknown']),
-	/** The version in force at each known node and how long ago it was heard. */
+	/** The version in force at each known node, and the age of its last report. */
 	inForce: z.array(
 		z.object({
 			node: z.string(),
--- a/packages/protocol/src/codec.ts
+++ b/packages/protocol/src/codec.ts
@@ -1,16 +1,16 @@
-/** Messages to bytes and back, by msgpackr; what comes in is checked by its schema. */
+/** Encodes and decodes messages with msgpackr; decoded messages are validated by their schema. */
 import {Packr} from 'msgpackr';
 import {err, ok, type Result} from 'neverthrow';
 import {messageSchema, type Message} from './message.js';
 
 const packr = new Packr({useRecords: false, moreTypes: false});
 
-/** Encodes one message. The buffer is the caller's to keep. */
+/** Encodes one message; the caller owns the buffer. */
 export function encodeMessage(message: Message): Uint8Array {
 	return packr.pack(message);
 }
 
-/** Decodes one message; the error says what is malformed, for the log. */
+/** Decodes one message; the error describes what is malformed, for the log. */
 export function decodeMessage(data: Uint8Array): Result<Message, string> {
 	let value: unknown;
 	try {
--- a/packages/protocol/src/error-code.ts
+++ b/packages/protocol/src/error-code.ts
@@ -1,10 +1,9 @@
 /**
- * Every reason for which a request can end without its target's answer, as one
- * enumeration with a table of messages. The numbers are part of the protocol:
- * they are never given a second meaning.
+ * All reasons why a request can end without an answer of its target, with a table
+ * of messages. The numbers are part of the protocol and are never reused.
  */
 
-/** Why a request was refused or its outcome isn't known. */
+/** The reason why a request was refused or its outcome is unknown. */
 export enum ErrorCode {
 	MalformedRequest = 100,
 	UnknownService = 101,
@@ -41,15 +40,15 @@
 	Internal = 500,
 }
 
-/** What a code says to a person, and what that person should do. */
+/** The message of a code and the advice for the caller. */
 export type ErrorMessage = {
 	message: string;
 	advice: string;
-	/** The HTTP status towards the caller. */
+	/** The HTTP status of the answer to the caller. */
 	status: number;
 };
 
-/** The message table; every code has its row. */
+/** The message table; every code has an entry. */
 export const errorMessages: Record<ErrorCode, ErrorMessage> = {
 	[ErrorCode.MalformedRequest]: {
 		message: 'the request is malformed',
--- a/packages/protocol/src/load-report.ts
+++ b/packages/protocol/src/load-report.ts
@@ -1,4 +1,4 @@
-/** What a target's node says of its load; it rides on every answer. */
+/** The load that a target's node reports with every answer. */
 import {z} from 'zod';
 
 export const loadReportSchema = z.object({
@@ -8,16 +8,16 @@
 	limit: z.number().nonnegative(),
 	/** Requests waiting for a slot. */
 	waiting: z.number().nonnegative(),
-	/** Milliseconds that the last dispatched request waited. */
+	/** Milliseconds that the last dispatched request waited in the queue. */
 	queueDelay: z.number().nonnegative(),
 	/**
 	 * The admission level: requests whose priority number (class rank * 128 +
-	 * user share) is above it are refused; 383 lets everything in.
+	 * user share) is above it are refused; 383 admits every request.
 	 */
 	level: z.number(),
-	/** The median service time seen lately, in milliseconds. */
+	/** The median of recent service times, in milliseconds. */
 	serviceTime: z.number().nonnegative(),
 });
 
-/** A load report; it may be late and may be wrong. */
+/** A load report; it may be outdated or incorrect. */
 export type LoadReport = z.infer<typeof loadReportSchema>;
--- a/packages/protocol/src/member.ts
+++ b/packages/protocol/src/member.ts
@@ -1,7 +1,7 @@
-/** What a node says of itself and of the target beside it. */
+/** The announcement of a node and its local target. */
 import {z} from 'zod';
 
-/** The states of a member, as seen by one node. */
+/** The states of a member, as recorded by one node. */
 export const memberStates = [
 	'joining',
 	'active',
@@ -12,20 +12,20 @@
 
 export const targetAnnouncementSchema = z.object({
 	service: z.string().min(1),
-	/** Requests that the target can run at once. */
+	/** Maximum number of concurrent requests at the target. */
 	slots: z.number().int().positive(),
-	/** Connections that the target accepts. */
+	/** Maximum number of connections that the target accepts. */
 	connections: z.number().int().positive(),
 });
 
-/** What a target announces to the node beside it. */
+/** The announcement of a target to its local node. */
 export type TargetAnnouncement = z.infer<typeof targetAnnouncementSchema>;
 
 export const memberSchema = z.object({
 	node: z.string().min(1),
-	/** Grows with every start and after every pause longer than the lease. */
+	/** Incremented at every start and after every pause longer than the lease. */
 	incarnation: z.number().int().nonnegative(),
-	/** Grows with every announcement within an incarnation. */
+	/** Incremented with every announcement within an incarnation. */
 	heartbeat: z.number().int().nonnegative(),
 	region: z.string(),
 	dataCentre: z.string(),
@@ -35,22 +35,22 @@
 	callerAddress: z.string(),
 	state: z.enum(memberStates),
 	target: targetAnnouncementSchema.optional(),
-	/** The configuration version in force there. */
+	/** The configuration version in force at the node. */
 	configurationVersion: z.number().int().nonnegative(),
 });
 
-/** One node as known to another. */
+/** A node as recorded by another node. */
 export type Member = z.infer<typeof memberSchema>;
 
-/** The home of a key: a node in one of its incarnations. */
+/** The home of a key: one incarnation of a node. */
 export type Home = {node: string; incarnation: number};
 
-/** `<node>@<incarnation>`. */
+/** Formats a home as `<node>@<incarnation>`. */
 export function formatHome(home: Home): string {
 	return `${home.node}@${home.incarnation}`;
 }
 
-/** Reads `<node>@<incarnation>`; undefined when it isn't one. */
+/** Parses `<node>@<incarnation>`; undefined when the text has another form. */
 export function parseHome(text: string): Home | undefined {
 	const match = /^(?<node>[^@\s]+)@(?<incarnation>\d{1,16})$/u.exec(text);
 	return match?.groups
--- a/packages/protocol/src/message.ts
+++ b/packages/protocol/src/message.ts
@@ -1,7 +1,7 @@
 /**
- * Every message between two nodes. One WebSocket message carries one message,
- * encoded by msgpackr. A sender may add fields that a receiver doesn't know;
- * a changed meaning takes a new protocol version.
+ * The messages between nodes. Each WebSocket message carries one of them, encoded
+ * by msgpackr. A sender may add fields that a receiver ignores; a change of
+ * meaning requires a new protocol version.
  */
 import {suspectTupleSchema} from '@egretspoke/quarantine';
 import {z} from 'zod';
@@ -9,7 +9,7 @@
 import {memberSchema} from './member.js';
 import {requestClassSchema} from './request-class.js';
 
-/** Nodes of different versions refuse each other with a typed error. */
+/** Nodes with different versions refuse connections to each other with a typed error. */
 export const protocolVersion = 1;
 
 const identifier = z.string().min(1).max(200);
@@ -19,7 +19,7 @@
 );
 const headers = z.record(z.string(), z.string());
 
-/** The first message of either side. */
+/** The first message of each side. */
 export const helloSchema = z.object({
 	type: z.literal('hello'),
 	version: z.number().int(),
@@ -36,9 +36,9 @@
 	signature: z.string(),
 });
 
-/** A request as it travels from the entry node to the target's node. */
+/** A request from the entry node to the target's node. */
 export const callRequestSchema = z.object({
-	/** The request's id along the whole chain. */
+	/** The id of the request along the whole call chain. */
 	id: identifier,
 	service: identifier,
 	method: z.string(),
@@ -49,10 +49,10 @@
 	caller: z.string(),
 	/** Milliseconds left when it was sent. */
 	timeLeft: z.number(),
-	/** Attempts left for the chain at and below this call, this one included. */
+	/** Attempts left for the chain from this call downwards, including this one. */
 	attempts: z.number().int().nonnegative(),
 	idempotent: z.boolean(),
-	/** The priority number that the chain's first admission gave. */
+	/** The priority number assigned by the first admission of the chain. */
 	priority: z.number().optional(),
 	key: z.string().optional(),
 	/** When the key expires, in milliseconds since 1970. */
@@ -74,7 +74,7 @@
 	retryAfter: z.number().optional(),
 });
 
-/** The end of an exchange. `length` guards against a body cut short. */
+/** Ends an exchange. `length` detects a truncated body. */
 export const answerSchema = z.object({
 	type: z.literal('answer'),
 	exchange: z.number().int().nonnegative(),
@@ -88,19 +88,19 @@
 	load: loadReportSchema.optional(),
 });
 
-/** The caller of an exchange no longer wants its answer. */
+/** Cancels an exchange whose caller no longer needs the answer. */
 export const cancelSchema = z.object({
 	type: z.literal('cancel'),
 	exchange: z.number().int().nonnegative(),
 });
 
-/** A probe that carries members and the version in force; answered by an acknowledgement. */
+/** A probe with members and the configuration version in force; answered by an acknowledgement. */
 export const probeSchema = z.object({
 	type: z.literal('probe'),
 	sequence: z.number().int().nonnegative(),
 	members: z.array(memberSchema),
 	configurationVersion: z.number().int().nonnegative(),
-	/** Asks the receiver to send all the members it knows. */
+	/** Requests all members that the receiver has recorded. */
 	whole: z.boolean().optional(),
 });
 
@@ -111,12 +111,12 @@
 	configurationVersion: z.number().int().nonnegative(),
 });
 
-/** Asks for the accepted configuration when the other side's version is higher. */
+/** Requests the accepted configuration when the version of the other side is higher. */
 export const configurationRequestSchema = z.object({
 	type: z.literal('configurationRequest'),
 });
 
-/** The accepted configuration as the exact text whose checksum the head row holds. */
+/** The accepted configuration, as the exact text whose checksum the head row contains. */
 export const configurationBodySchema = z.object({
 	type: z.literal('configurationBody'),
 	version: z.number().int().nonnegative(),
@@ -124,13 +124,13 @@
 	text: z.string(),
 });
 
-/** Requests under which targets crashed, as far as the receiver may not know. */
+/** Suspects that the receiver may not have recorded yet. */
 export const suspectsSchema = z.object({
 	type: z.literal('suspects'),
 	suspects: z.array(suspectTupleSchema),
 });
 
-/** Every message that may follow the handshake. */
+/** Any message, including those of the handshake. */
 export const messageSchema = z.discriminatedUnion('type', [
 	helloSchema,
 	proofSchema,
--- a/packages/protocol/src/outcome.ts
+++ b/packages/protocol/src/outcome.ts
@@ -1,31 +1,31 @@
 /**
- * The three ways a request can end. What goes wrong without the types: code
- * that has already handed a request to a target says "not run" because its
- * wait timed out, the caller repeats a payment, and it runs twice. One notices
- * two rows for one order. Here `notRun` can only be built from a proof, and a
- * proof is only given out by a ticket that has not been handed over.
+ * The three outcomes of a request. Failure that the types prevent: code that has
+ * already handed a request over to a target reports `notRun` because its wait
+ * timed out, the caller repeats a payment, and it runs twice (two rows for one
+ * order). Here `notRun` requires a proof, which is issued only by a ticket that
+ * was not handed over or for a certified refusal.
  */
 import {err, ok, type Result} from 'neverthrow';
 import {errorMessages, type ErrorCode} from './error-code.js';
 
 declare const proofBrand: unique symbol;
 
-/** Evidence that no target has been given the request. */
+/** Evidence that no target ran the request. */
 export type NotRunProof = {readonly [proofBrand]: true};
 
-/** A whole answer of a target. */
+/** A complete answer of a target. */
 export type Answer = {
 	status: number;
 	headers: Record<string, string>;
 	body: Uint8Array;
 };
 
-/** Why there is no answer, and when to come back. */
+/** The reason why there is no answer, and when to retry. */
 export type Refusal = {
 	code: ErrorCode;
-	/** One sentence for the person who reads it. */
+	/** One sentence for a human reader. */
 	detail: string;
-	/** Milliseconds after which another try may do better; absent when it won't. */
+	/** Milliseconds after which a retry may succeed; absent when a retry cannot succeed. */
 	retryAfter?: number;
 };
 
@@ -36,18 +36,19 @@
 	| {kind: 'unknown'; refusal: Refusal};
 
 /**
- * The right to hand one request to one target, once. Whoever cancels or
- * refuses must win the ticket first; whoever dispatches must take it first.
+ * The right to hand over one request to one target, once. Code that cancels or
+ * refuses the request must revoke the ticket first; code that dispatches it must
+ * call `handOver` first.
  */
 export type HandOverTicket = {
-	/** Takes the ticket for a dispatch; false when it was surrendered before. */
+	/** Uses the ticket for a dispatch; false when it was already used or revoked. */
 	handOver(): boolean;
-	/** Gives up the dispatch for good; fails once the request was handed over. */
+	/** Permanently prevents the dispatch; an error once the request was handed over. */
 	revoke(): Result<NotRunProof, 'handedOver'>;
 	state(): 'held' | 'handedOver' | 'revoked';
 };
 
-/** Creates a ticket that is still held. */
+/** Creates a ticket that is neither handed over nor revoked. */
 export function createHandOverTicket(): HandOverTicket {
 	let state: 'held' | 'handedOver' | 'revoked' = 'held';
 	return {
@@ -72,8 +73,9 @@
 }
 
 /**
- * The proof that another party gives: a node's `notRun` frame, or a target's
- * refusal that certifies by its protocol that nothing ran.
+ * Returns the proof for a certified refusal: a `notRun` message of a peer, a
+ * refusal by which a target certifies that it did not run the request, or a
+ * refused connection.
  */
 export function acceptCertifiedRefusal(
 	_source: 'peer' | 'target' | 'connectRefused',
@@ -81,7 +83,7 @@
 	return proof;
 }
 
-/** Builds a refusal with the message of its code. */
+/** Creates a refusal, by default with the message of its code. */
 export function createRefusal(
 	code: ErrorCode,
 	options: {retryAfter?: number; detail?: string} = {},
@@ -94,7 +96,7 @@
 	};
 }
 
-/** Says that the request was not run. */
+/** Creates the outcome of a request that was not run. */
 export function createNotRunOutcome(
 	proof: NotRunProof,
 	refusal: Refusal,
@@ -102,7 +104,7 @@
 	return {kind: 'notRun', proof, refusal};
 }
 
-/** Says that nobody here knows whether the request ran. */
+/** Creates the outcome of a request that may have run. */
 export function createUnknownOutcome(refusal: Refusal): Outcome {
 	return {kind: 'unknown', refusal};
 }
