--- a/packages/ledger/__tests__/attempt-at-most-once.spec.ts
+++ b/packages/ledger/__tests__/attempt-at-most-once.spec.ts
@@ -21,7 +21,7 @@
 	it('return the answer of the only run to every caller of a key', async () => {
 		// Guards against duplicate bookings when a client repeats a booking while
 		// the first attempt is still running.
-		const home = create();
+		const home = createHome();
 		const attempts = Array.from({length: 20}, async () => home.attempt());
 		await home.clock.runTo(50);
 		const outcomes = await Promise.all(attempts);
@@ -30,7 +30,7 @@
 	});
 
 	it('try a second target only after a definite refusal', async () => {
-		const home = create({
+		const home = createHome({
 			dispatch: async (attempt) =>
 				attempt.number < 3 ? refuseAfterHandOver(attempt) : home.run(attempt),
 		});
@@ -43,7 +43,7 @@
 	it('are never repeated after a lost answer', async () => {
 		// The target runs a payment, and its connection is lost before the answer.
 		// A retry at a second target would run the payment twice.
-		const home = create({
+		const home = createHome({
 			async dispatch(attempt) {
 				await home.run(attempt);
 				return createUnknownOutcome(createRefusal(ErrorCode.AnswerLost));
@@ -57,7 +57,7 @@
 	});
 
 	it('end with the refusal when no retries are left, and release the key', async () => {
-		const home = create({
+		const home = createHome({
 			dispatch: async (attempt) => refuseAfterHandOver(attempt),
 			retry: async (refusal, number) => (number < 2 ? undefined : refusal),
 		});
@@ -70,7 +70,7 @@
 		// The home is frozen while it holds a booking, and the deadline passes. When
 		// it resumes, pending work runs before overdue timers; the booking would
 		// appear long after its caller had received the refusal.
-		const home = create({
+		const home = createHome({
 			async dispatch(attempt) {
 				await sleep(home.frozen.clock, 10);
 				return home.run(attempt);
@@ -87,7 +87,7 @@
 	it('are answered at the deadline, and a repeat receives the late answer', async () => {
 		// A booking takes longer than its deadline. The caller must immediately
 		// receive that it may have run, and its repeat must not book again.
-		const home = create({
+		const home = createHome({
 			async dispatch(attempt) {
 				const outcome = await home.run(attempt);
 				await sleep(home.clock, 5000);
@@ -107,7 +107,7 @@
 	});
 
 	it('are not run when the deadline passes before the hand-over', async () => {
-		const home = create({
+		const home = createHome({
 			dispatch: async (attempt) => waitForever(attempt),
 		});
 		const outcome = home.attempt();
@@ -118,7 +118,7 @@
 	});
 
 	it('are not run when the deadline passes during the backoff after a refusal', async () => {
-		const home = create({
+		const home = createHome({
 			dispatch: async (attempt) => refuseAfterHandOver(attempt),
 			async retry() {
 				await sleep(home.clock, 5000);
@@ -134,7 +134,7 @@
 
 	it('stop waiting when the caller disconnects before the hand-over', async () => {
 		const caller = new AbortController();
-		const home = create({
+		const home = createHome({
 			dispatch: async (attempt) => waitForever(attempt),
 		});
 		const first = home.attempt({signal: caller.signal});
@@ -147,7 +147,7 @@
 		// A phone loses its connection while a payment runs, and repeats it. If the
 		// payment had been cancelled midway, its outcome would be unknown.
 		const caller = new AbortController();
-		const home = create();
+		const home = createHome();
 		const first = home.attempt({signal: caller.signal});
 		await home.clock.runTo(5);
 		caller.abort();
@@ -163,7 +163,7 @@
 		// repeat shared its `CallerGone` outcome, it would be refused needlessly.
 		const caller = new AbortController();
 		let calls = 0;
-		const home = create({
+		const home = createHome({
 			dispatch: async (attempt) =>
 				calls++ === 0 ? waitForever(attempt) : home.run(attempt),
 		});
@@ -180,7 +180,7 @@
 		// The deadline timer fires in the same turn in which the request is handed
 		// over. Only the first of both may take effect; otherwise a request that
 		// was reported as not run would have run.
-		const home = create({
+		const home = createHome({
 			async dispatch(attempt) {
 				await sleep(home.clock, 1000 - home.clock.now());
 				return home.run(attempt);
@@ -197,7 +197,7 @@
 		it(`end as ${kind} when the dispatch fails ${handedOver ? 'after' : 'before'} the hand-over`, async () => {
 			// An error is thrown during a dispatch. Only the state of the ticket
 			// shows whether the request was already sent.
-			const home = create({
+			const home = createHome({
 				async dispatch(attempt) {
 					if (handedOver) {
 						attempt.ticket.handOver();
@@ -213,7 +213,7 @@
 	}
 
 	it('are not handed over once the key has expired in the queue', async () => {
-		const home = create({
+		const home = createHome({
 			async dispatch(attempt) {
 				await sleep(home.clock, 500);
 				return home.run(attempt);
@@ -238,12 +238,15 @@
  * Creates a home whose target takes 20 ms. A value of `frozen.now` ahead of the
  * clock simulates a process that was frozen until then.
  */
-function create(overrides: Overrides = {}) {
+function createHome(overrides: Overrides = {}) {
 	const clock = createVirtualClock();
 	const frozen = {now: 0, clock};
-	const seen = {...clock, now: () => Math.max(frozen.now, clock.now())};
+	const freezableClock = {
+		...clock,
+		now: () => Math.max(frozen.now, clock.now()),
+	};
 	const ledger = createLedger({
-		clock: seen,
+		clock: freezableClock,
 		capacity: 100,
 		bytesCapacity: 10_000,
 		maximumLifetime: 600_000,
@@ -261,19 +264,23 @@
 		return {kind: 'answered', answer};
 	};
 
-	type Given = {deadline?: number; signal?: AbortSignal; lifetime?: number};
-	const attempt = async (given: Given = {}) =>
+	type RequestOptions = {
+		deadline?: number;
+		signal?: AbortSignal;
+		lifetime?: number;
+	};
+	const attempt = async (requestOptions: RequestOptions = {}) =>
 		attemptAtMostOnce({
-			clock: seen,
+			clock: freezableClock,
 			ledger,
 			request: {
 				service: 'bookings',
 				key: 'key',
 				fingerprint: 'fingerprint',
-				expiry: origin + (given.lifetime ?? 60_000),
+				expiry: origin + (requestOptions.lifetime ?? 60_000),
 			},
-			deadline: given.deadline ?? 1000,
-			signal: given.signal ?? new AbortController().signal,
+			deadline: requestOptions.deadline ?? 1000,
+			signal: requestOptions.signal ?? new AbortController().signal,
 			dispatch: overrides.dispatch ?? run,
 			retry: overrides.retry ?? (async () => undefined),
 		});
--- a/packages/ledger/__tests__/ledger.spec.ts
+++ b/packages/ledger/__tests__/ledger.spec.ts
@@ -35,7 +35,7 @@
 		it('runs again after a definite refusal, and only then', () => {
 			const {ledger, request} = create();
 			const first = runOf(ledger.begin(request()));
-			first.notRun(prove(), createRefusal(ErrorCode.Overloaded));
+			first.notRun(createProof(), createRefusal(ErrorCode.Overloaded));
 			const second = runOf(ledger.begin(request()));
 			second.unknown(createRefusal(ErrorCode.AnswerLost));
 			expect(codeOf(ledger.begin(request()))).to.equal(ErrorCode.AnswerLost);
@@ -79,7 +79,7 @@
 			run.unknown(createRefusal(ErrorCode.DeadlineWhileRunning));
 			run.answered(answerOf('late'));
 			run.unknown(createRefusal(ErrorCode.AnswerLost));
-			run.notRun(prove(), createRefusal(ErrorCode.Overloaded));
+			run.notRun(createProof(), createRefusal(ErrorCode.Overloaded));
 			expect(outcomeOf(ledger.begin(request())).kind).to.equal('answered');
 		});
 
@@ -328,7 +328,7 @@
 		}
 
 		case 'notRun': {
-			run.notRun(prove(), createRefusal(ErrorCode.Overloaded));
+			run.notRun(createProof(), createRefusal(ErrorCode.Overloaded));
 
 			break;
 		}
@@ -336,7 +336,7 @@
 	}
 }
 
-function prove(): NotRunProof {
+function createProof(): NotRunProof {
 	return createHandOverTicket().revoke()._unsafeUnwrap();
 }
 
--- a/packages/ledger/src/attempt-ticket.ts
+++ b/packages/ledger/src/attempt-ticket.ts
@@ -1,9 +1,9 @@
 /**
  * A hand-over ticket that checks the deadline immediately before the hand-over.
  * Failure without it: a node is frozen while it holds a request, its caller
- * receives a passed deadline, and the node resumes and dispatches: a booking
- * appears minutes after it was reported as failed. Timers that expired during
- * the freeze may run after the dispatch, so the clock itself is read.
+ * receives that the deadline passed, and the node resumes and dispatches. A
+ * booking appears minutes after it was reported as failed. Timers that expired
+ * during the freeze may run after the dispatch, so the clock itself is read.
  */
 import {
 	createHandOverTicket,
--- a/packages/quarantine/__tests__/crash-detector.spec.ts
+++ b/packages/quarantine/__tests__/crash-detector.spec.ts
@@ -3,7 +3,7 @@
 import {createCrashDetector, settleTimeout} from '../src/index.js';
 
 /** Creates a detector whose runs are identified by names. */
-function createWatch({isListening}: {isListening: boolean}) {
+function createTestDetector({isListening}: {isListening: boolean}) {
 	const clock = createVirtualClock();
 	const verdicts: Array<[string[], boolean]> = [];
 	let probes = 0;
@@ -41,7 +41,7 @@
 
 describe('a crash of a target', () => {
 	it('is detected as soon as all of its requests are lost and it refuses connections', () => {
-		const {start, lose, verdicts} = createWatch({isListening: false});
+		const {start, lose, verdicts} = createTestDetector({isListening: false});
 		start('a', 'b', 'c');
 		lose('a', 'b');
 		expect(verdicts).to.deep.equal([]);
@@ -50,7 +50,7 @@
 	});
 
 	it('is detected when a new request is refused, also for runs whose ends are noticed later', () => {
-		const {start, end, lose, detector, verdicts} = createWatch({
+		const {start, end, lose, detector, verdicts} = createTestDetector({
 			isListening: true,
 		});
 		start('a', 'b');
@@ -66,7 +66,7 @@
 	});
 
 	it('does not wait for requests that began after the first loss', () => {
-		const {start, lose, verdicts} = createWatch({isListening: false});
+		const {start, lose, verdicts} = createTestDetector({isListening: false});
 		start('a', 'b');
 		lose('a');
 		start('new');
@@ -75,7 +75,9 @@
 	});
 
 	it('is detected when the last of the other requests ends with an answer that was in transit', () => {
-		const {start, end, lose, verdicts} = createWatch({isListening: false});
+		const {start, end, lose, verdicts} = createTestDetector({
+			isListening: false,
+		});
 		start('a', 'b');
 		lose('a');
 		end('b');
@@ -85,7 +87,9 @@
 
 describe('a crash whose last connection ends are noticed late', () => {
 	it('is detected by a refused connection', () => {
-		const {clock, start, lose, verdicts} = createWatch({isListening: false});
+		const {clock, start, lose, verdicts} = createTestDetector({
+			isListening: false,
+		});
 		start('a', 'b', 'c', 'd');
 		lose('a', 'b', 'c');
 		clock.advanceTo(settleTimeout);
@@ -99,7 +103,7 @@
 
 describe('a lost connection', () => {
 	it('is not a crash while other requests of the target continue', () => {
-		const {clock, start, lose, verdicts, probes} = createWatch({
+		const {clock, start, lose, verdicts, probes} = createTestDetector({
 			isListening: false,
 		});
 		start('a', 'b', 'c');
@@ -110,14 +114,16 @@
 	});
 
 	it('is not a crash of a target that accepts connections', () => {
-		const {start, lose, verdicts} = createWatch({isListening: true});
+		const {start, lose, verdicts} = createTestDetector({isListening: true});
 		start('a');
 		lose('a');
 		expect(verdicts).to.deep.equal([[['a'], false]]);
 	});
 
 	it('is evaluated separately when it comes long after another', () => {
-		const {clock, start, lose, verdicts} = createWatch({isListening: true});
+		const {clock, start, lose, verdicts} = createTestDetector({
+			isListening: true,
+		});
 		start('a', 'b', 'c', 'd', 'e');
 		lose('a');
 		clock.advanceTo(1000);
--- a/packages/quarantine/src/isolation.ts
+++ b/packages/quarantine/src/isolation.ts
@@ -7,7 +7,7 @@
 
 /** The isolation of one target. */
 export type Isolation<Item> = {
-	/** Admits the item if the target runs no other; otherwise queues it and returns false. */
+	/** Admits the item unless another one holds the isolation; otherwise queues it and returns false. */
 	enter(item: Item): boolean;
 	/**
 	 * Releases the isolation if the item holds it; returns the next queued item,
--- a/packages/quarantine/src/suspect-table.ts
+++ b/packages/quarantine/src/suspect-table.ts
@@ -67,7 +67,7 @@
 	/** The number of suspects with crashes for each quick hash. */
 	const quickHashes = new Map<number, number>();
 
-	const countHash = ({identity, crashes}: Suspect, change: number) => {
+	const updateHashCount = ({identity, crashes}: Suspect, change: number) => {
 		if (crashes === 0) {
 			return;
 		}
@@ -83,7 +83,7 @@
 
 	const remove = (entry: Entry) => {
 		entries.delete(entry.identity);
-		countHash(entry, -1);
+		updateHashCount(entry, -1);
 	};
 
 	/**
@@ -116,7 +116,7 @@
 			recordedAt: now,
 			lastUsedAt: now,
 		});
-		countHash(suspect, 1);
+		updateHashCount(suspect, 1);
 		return suspect;
 	};
 
