--- a/packages/decisions/src/admission-options.ts
+++ b/packages/decisions/src/admission-options.ts
@@ -1,53 +1,55 @@
-/** What the switched-off mechanisms are replaced by, as lookup tables. */
+/** The switches of admission, with the replacements for switched-off mechanisms. */
 import {requestClasses, type RequestClass} from '@egretspoke/protocol';
-import {patienceOf} from './admission-queue.js';
-import {highestLevel} from './admission-level.js';
-import {comeBackTime, type BacklogState} from './come-back-time.js';
+import {queueExpiry} from './admission-queue.js';
+import {maxLevel} from './admission-level.js';
+import {retryAfterTime, type BacklogState} from './retry-after-time.js';
 import type {ConcurrencyLimit} from './concurrency-limit.js';
 import {latestStart} from './deadline-feasibility.js';
-import {levelBelow} from './levels-below.js';
+import {downstreamLevel} from './downstream-levels.js';
 import type {AdmissionContext, Mechanism} from './policy.js';
 
-/** What every caller is told while come-back times are switched off, in milliseconds. */
-export const fixedComeBackTime = 250;
+/** The retry-after time while `come-back-times` is switched off, in milliseconds. */
+export const fixedRetryAfterTime = 250;
 
-/** The admission's behaviour, by what is switched on. */
+/** The behaviour of admission by switched-on mechanisms. */
 export type AdmissionOptions = {
-	/** Classes that are told apart. */
+	/** The number of classes that are distinguished. */
 	classes: number;
 	hasQueueTime: boolean;
 	hasFeasibility: boolean;
 	hasFairShare: boolean;
-	hasLongAmongShort: boolean;
+	hasLongOperationLimit: boolean;
 	hasCancellation: boolean;
 	latestStart: typeof latestStart;
-	patienceOf: typeof patienceOf;
+	queueExpiry: typeof queueExpiry;
 	classOf(requestClass: RequestClass): RequestClass;
 	limitOf(limit: ConcurrencyLimit): number;
-	levelBelow(operation: string, now: number): number;
-	comeBack(backlog: BacklogState): number;
+	downstreamLevel(operation: string, now: number): number;
+	retryAfterTime(backlog: BacklogState): number;
 };
 
-/** Reads the context's switches once. */
+/** Reads the switched-off mechanisms once. */
 export function createAdmissionOptions(
 	context: AdmissionContext,
 ): AdmissionOptions {
-	const {without, below, random} = context;
-	const isOn = (mechanism: Mechanism) => !without?.has(mechanism);
+	const {without, downstreamLevels, random} = context;
+	const isEnabled = (mechanism: Mechanism) => !without?.has(mechanism);
 	const options: AdmissionOptions = {
 		classes: requestClasses.length,
 		classOf: (requestClass) => requestClass,
 		limitOf: ({limit}) => limit,
-		hasQueueTime: isOn('queue-time'),
-		hasFeasibility: isOn('deadline-feasibility'),
-		hasFairShare: isOn('fair-share'),
-		hasLongAmongShort: isOn('long-among-short'),
-		hasCancellation: isOn('cancellation'),
+		hasQueueTime: isEnabled('queue-time'),
+		hasFeasibility: isEnabled('deadline-feasibility'),
+		hasFairShare: isEnabled('fair-share'),
+		hasLongOperationLimit: isEnabled('long-among-short'),
+		hasCancellation: isEnabled('cancellation'),
 		latestStart,
-		patienceOf,
-		levelBelow: (operation, now) =>
-			below ? levelBelow(below, operation, now) : highestLevel,
-		comeBack: (backlog) => comeBackTime(backlog, random),
+		queueExpiry,
+		downstreamLevel: (operation, now) =>
+			downstreamLevels
+				? downstreamLevel(downstreamLevels, operation, now)
+				: maxLevel,
+		retryAfterTime: (backlog) => retryAfterTime(backlog, random),
 	};
 	for (const mechanism of without ?? []) {
 		Object.assign(options, replacements[mechanism]);
@@ -58,9 +60,9 @@
 
 const replacements: Partial<Record<Mechanism, Partial<AdmissionOptions>>> = {
 	classes: {classes: 1, classOf: () => 'essential'},
-	'queue-time': {patienceOf: (_rank, latest) => latest},
+	'queue-time': {queueExpiry: (_rank, latest) => latest},
 	'concurrency-limit': {limitOf: ({slots}) => slots},
 	'deadline-feasibility': {latestStart: (deadline) => deadline},
-	'upstream-refusal': {levelBelow: () => highestLevel},
-	'come-back-times': {comeBack: () => fixedComeBackTime},
+	'upstream-refusal': {downstreamLevel: () => maxLevel},
+	'come-back-times': {retryAfterTime: () => fixedRetryAfterTime},
 };
--- a/packages/decisions/src/admission.ts
+++ b/packages/decisions/src/admission.ts
@@ -1,56 +1,57 @@
 /**
- * Admission at the target's node: puts the modules together. A request that
- * arrives gets its priority number, is held against the levels, the deadline
- * and the slots, and runs, waits or is refused; nothing is decided twice.
+ * Admission at the target's node. An arriving request gets its priority
+ * number, is checked against the downstream level, its deadline, the free
+ * slots and the admission level, and then runs, waits or is refused. This
+ * module only combines the others.
  */
 import {ErrorCode} from '@egretspoke/protocol';
 import {
 	closeLevelWindow,
-	countUse,
 	createAdmissionLevel,
-	highestLevel,
 	isWindowOver,
-	levelWindow,
-	noteArrival,
+	maxLevel,
+	recordArrival,
+	recordSlotTime,
+	windowLength,
 	type AdmissionLevel,
 } from './admission-level.js';
 import {createAdmissionOptions} from './admission-options.js';
 import {
 	createAdmissionQueue,
+	dequeue,
 	enqueue,
 	firstToExpire,
-	lengthOf,
+	hasShortWaiting,
 	oldestOverShare,
-	shortWaiting,
+	queueLength,
+	removeAll,
+	removeById,
+	shortWaitingCount,
 	slotTimeAhead,
-	takeAll,
-	takeById,
-	takeNext,
 	waitingEntries,
-	waitsShort,
 	type QueueEntry,
 } from './admission-queue.js';
 import {
 	createFairShare,
-	forgiveDemand,
-	isOverShareNumber,
-	settleShares,
+	isOverSharePriority,
+	uncountDemand,
+	updateShares,
 	type FairShare,
 } from './fair-share.js';
-import {runningOf} from './operation-durations.js';
+import {runningCountOf} from './operation-durations.js';
 import type {
 	AdmissionContext,
 	AdmissionDecision,
 	AdmissionPolicy,
-	AdmissionTurn,
 	CallFacts,
+	QueueDecision,
 	RefusalDecision,
 } from './policy.js';
-import {numberArrival, unknownDuration} from './request-numbering.js';
+import {defaultDuration, prioritizeRequest} from './request-priority.js';
 import {createSlotTable} from './slot-table.js';
 
-/** Milliseconds after which long work that waits beside free slots is looked at again. */
-const heldWake = 100;
+/** Milliseconds until waiting long requests are checked again while slots are free. */
+const heldRecheckInterval = 100;
 
 /** Creates the admission of one target. */
 export function createAdmission(context: AdmissionContext): AdmissionPolicy {
@@ -60,15 +61,15 @@
 	let started: {level: AdmissionLevel; shares: FairShare} | undefined;
 	let queueDelay = 0;
 
-	const serviceTime = () => slots.durations.average || unknownDuration;
+	const serviceTime = () => slots.durations.average || defaultDuration;
 
-	/** Brings the measures to this instant; to be called first. */
+	/** Updates the averages and the window to the current time. Must be called first. */
 	const advance = (now: number) => {
 		started ??= {
 			level: createAdmissionLevel(now),
 			shares: createFairShare(now),
 		};
-		countUse(started.level, slots.running(), now);
+		recordSlotTime(started.level, slots.running(), now);
 		slots.advance(now);
 		if (isWindowOver(started.level, serviceTime(), now)) {
 			const target = {
@@ -77,44 +78,49 @@
 				serviceTime: serviceTime(),
 			};
 			closeLevelWindow(started.level, target, now);
-			settleShares(started.shares, now);
+			updateShares(started.shares, now);
 		}
 
 		return started;
 	};
 
 	/** From when on the queue counts as standing. */
-	const standingFrom = () =>
+	const standingQueueStart = () =>
 		options.hasQueueTime && queue.standingSince !== undefined
-			? queue.standingSince + levelWindow(serviceTime())
+			? queue.standingSince + windowLength(serviceTime())
 			: Number.POSITIVE_INFINITY;
 
 	const mayRunLong = (rank: number) =>
-		slots.mayRunLong(rank, (other) => shortWaiting(queue, other));
+		slots.mayRunLong(rank, (other) => shortWaitingCount(queue, other));
 
-	const describeSlots = () => `${slots.running()} of ${slots.limit()} slots`;
+	const describeSlots = () =>
+		`${slots.running()} of ${slots.limit()} slots in use`;
 
 	const refuse = (code: ErrorCode, reason: string): RefusalDecision => {
 		const {level} = started!;
 		level.refused++;
-		const retryAfter = options.comeBack({
-			waiting: lengthOf(queue),
-			refused: level.refused + level.refusedBefore,
+		const retryAfter = options.retryAfterTime({
+			waiting: queueLength(queue),
+			refused: level.refused + level.refusedInLastWindow,
 			drainRate: slots.limit() / serviceTime(),
 			serviceTime: serviceTime(),
 		});
 		return {kind: 'refuse', code, reason, retryAfter};
 	};
 
-	/** Refuses a request that was counted for its caller. */
-	const refuseCounted = (call: CallFacts, code: ErrorCode, reason: string) => {
-		forgive(call);
+	/** Refuses a request and removes it from its caller's demand. */
+	const refuseAndUncount = (
+		call: CallFacts,
+		code: ErrorCode,
+		reason: string,
+	) => {
+		uncount(call);
 		return refuse(code, reason);
 	};
 
-	const forgive = (call: CallFacts) => {
+	const uncount = (call: CallFacts) => {
 		if (options.hasFairShare && call.priority === undefined) {
-			forgiveDemand(started!.shares, call);
+			uncountDemand(started!.shares, call);
 		}
 	};
 
@@ -123,13 +129,13 @@
 		priority: number,
 		allowed: number,
 	) => {
-		const code = isOverShareNumber(priority)
+		const code = isOverSharePriority(priority)
 			? ErrorCode.CallerOverShare
 			: ErrorCode.LevelTooLow;
-		return refuseCounted(
+		return refuseAndUncount(
 			call,
 			code,
-			`${priority} is above level ${Math.round(allowed)}`,
+			`priority ${priority} is above level ${Math.round(allowed)}`,
 		);
 	};
 
@@ -140,27 +146,27 @@
 			return refuse(ErrorCode.DeadlinePassed, 'arrived after its deadline');
 		}
 
-		const request = numberArrival(call, options, slots.durations, shares);
+		const request = prioritizeRequest(call, options, slots.durations, shares);
 		const {priority, rank, isLong, expected, slotTime} = request;
-		noteArrival(level, priority, slotTime);
-		const below = options.levelBelow(operation, now);
-		if (priority > below) {
-			return refuseByLevel(call, priority, below);
+		recordArrival(level, priority, slotTime);
+		const downstreamLevel = options.downstreamLevel(operation, now);
+		if (priority > downstreamLevel) {
+			return refuseByLevel(call, priority, downstreamLevel);
 		}
 
-		const running = runningOf(slots.durations, operation);
-		const latest = options.latestStart(deadline, expected, running);
-		if (latest <= now) {
-			return refuseCounted(
+		const running = runningCountOf(slots.durations, operation);
+		const latestStart = options.latestStart(deadline, expected, running);
+		if (latestStart <= now) {
+			return refuseAndUncount(
 				call,
 				ErrorCode.DeadlineInfeasible,
-				`takes about ${Math.round(expected)} ms, ${Math.round(deadline - now)} ms are left`,
+				`expected to take ${Math.round(expected)} ms, but ${Math.round(deadline - now)} ms are left`,
 			);
 		}
 
 		const isNext = isLong
-			? lengthOf(queue) === 0 && mayRunLong(rank)
-			: !waitsShort(queue);
+			? queueLength(queue) === 0 && mayRunLong(rank)
+			: !hasShortWaiting(queue);
 		if (isNext && slots.isFree()) {
 			slots.begin(request);
 			return {kind: 'dispatch', reason: describeSlots()};
@@ -170,16 +176,16 @@
 			return refuseByLevel(call, priority, level.level);
 		}
 
-		const ahead = slotTimeAhead(queue, priority, isLong) / slots.limit();
-		if (options.hasFeasibility && now + ahead > latest) {
-			return refuseCounted(
+		const waitTime = slotTimeAhead(queue, priority, isLong) / slots.limit();
+		if (options.hasFeasibility && now + waitTime > latestStart) {
+			return refuseAndUncount(
 				call,
 				ErrorCode.DeadlineInfeasible,
-				`${Math.round(ahead)} ms of work are ahead of it`,
+				`${Math.round(waitTime)} ms of work are queued ahead of it`,
 			);
 		}
 
-		const until = options.patienceOf(rank, latest, deadline, now);
+		const expiresAt = options.queueExpiry(rank, latestStart, deadline, now);
 		enqueue(queue, {
 			call,
 			rank,
@@ -187,82 +193,84 @@
 			priority,
 			slotTime,
 			since: now,
-			latest,
-			until,
-			isGone: false,
+			latestStart,
+			expiresAt,
+			isRemoved: false,
 		});
 		return {
 			kind: 'wait',
-			reason: `${describeSlots()}, ${lengthOf(queue)} wait`,
+			reason: `${describeSlots()}, ${queueLength(queue)} waiting`,
 		};
 	};
 
-	/** When the oldest request over its share has outstayed in a queue that stands. */
+	/** When the oldest request over its caller's share expires because the queue is standing. */
 	const overShareExpiry = (): number => {
 		const oldest = oldestOverShare(queue)?.since;
 		return oldest === undefined
 			? Number.POSITIVE_INFINITY
-			: Math.max(standingFrom(), oldest + serviceTime());
+			: Math.max(standingQueueStart(), oldest + serviceTime());
 	};
 
-	/** The next request that is given up now. */
-	const nextGivenUp = (now: number): QueueEntry | undefined => {
+	/** The next request that has expired. */
+	const nextExpired = (now: number): QueueEntry | undefined => {
 		const first = firstToExpire(queue);
-		if (first && first.until <= now) {
+		if (first && first.expiresAt <= now) {
 			return first;
 		}
 
 		return overShareExpiry() <= now ? oldestOverShare(queue) : undefined;
 	};
 
-	const takeRefused = (now: number): AdmissionTurn[] => {
-		const turns: AdmissionTurn[] = [];
-		for (let entry = nextGivenUp(now); entry; entry = nextGivenUp(now)) {
-			const {call, latest, since} = entry;
-			takeById(queue, call.id);
+	const refuseExpired = (now: number): QueueDecision[] => {
+		const decisions: QueueDecision[] = [];
+		for (let entry = nextExpired(now); entry; entry = nextExpired(now)) {
+			const {call, latestStart, since} = entry;
+			removeById(queue, call.id);
 			const code =
-				latest <= now ? ErrorCode.DeadlineInfeasible : ErrorCode.QueueTimeout;
+				latestStart <= now
+					? ErrorCode.DeadlineInfeasible
+					: ErrorCode.QueueTimeout;
 			const reason = `waited ${Math.round(now - since)} ms`;
-			turns.push({id: call.id, ...refuseCounted(call, code, reason)});
+			decisions.push({id: call.id, ...refuseAndUncount(call, code, reason)});
 		}
 
-		return turns;
+		return decisions;
 	};
 
-	const takeDispatched = (now: number): AdmissionTurn[] => {
-		const turns: AdmissionTurn[] = [];
+	const dispatchWaiting = (now: number): QueueDecision[] => {
+		const decisions: QueueDecision[] = [];
 		while (slots.isFree()) {
-			const entry = takeNext(queue, mayRunLong);
+			const entry = dequeue(queue, mayRunLong);
 			if (!entry) {
 				break;
 			}
 
 			queueDelay = now - entry.since;
 			slots.begin(entry);
-			turns.push({
+			decisions.push({
 				id: entry.call.id,
 				kind: 'dispatch',
 				reason: `waited ${Math.round(queueDelay)} ms, ${describeSlots()}`,
 			});
 		}
 
-		return turns;
+		return decisions;
 	};
 
 	return {
 		arrive,
 		withdraw: (id) =>
-			options.hasCancellation && takeById(queue, id) !== undefined,
+			options.hasCancellation && removeById(queue, id) !== undefined,
 		finish(id, completion, now) {
 			advance(now);
 			const ended = slots.end(id, completion);
 			if (ended && completion.result === 'shed') {
-				forgive(ended);
+				uncount(ended);
 			}
 		},
-		turns(now) {
+		processQueue(now) {
 			advance(now);
-			return [...takeRefused(now), ...takeDispatched(now)];
+			return [...refuseExpired(now), ...dispatchWaiting(now)];
 		},
 		wakeAt() {
 			const first = firstToExpire(queue);
@@ -270,13 +278,13 @@
 				return undefined;
 			}
 
-			const held = slots.isFree()
-				? started!.level.countedUntil + heldWake
+			const recheckAt = slots.isFree()
+				? started!.level.countedUntil + heldRecheckInterval
 				: Number.POSITIVE_INFINITY;
-			return Math.min(first.until, overShareExpiry(), held);
+			return Math.min(first.expiresAt, overShareExpiry(), recheckAt);
 		},
 		drain: () =>
-			takeAll(queue).map(({call}) => ({
+			removeAll(queue).map(({call}) => ({
 				id: call.id,
 				kind: 'refuse',
 				code: ErrorCode.Leaving,
@@ -284,15 +292,15 @@
 				retryAfter: 0,
 			})),
 		report(now, operation) {
-			const own = started?.level.level ?? highestLevel;
-			const below =
-				operation === undefined ? own : options.levelBelow(operation, now);
+			const own = started?.level.level ?? maxLevel;
+			const downstreamLevel =
+				operation === undefined ? own : options.downstreamLevel(operation, now);
 			return {
 				inFlight: slots.running(),
 				limit: slots.limit(),
-				waiting: lengthOf(queue),
-				queueDelay: lengthOf(queue) === 0 ? 0 : queueDelay,
-				level: Math.min(own, Math.round(below)),
+				waiting: queueLength(queue),
+				queueDelay: queueLength(queue) === 0 ? 0 : queueDelay,
+				level: Math.min(own, Math.round(downstreamLevel)),
 				serviceTime: slots.durations.average,
 			};
 		},
--- a/packages/decisions/src/routing-group.ts
+++ b/packages/decisions/src/routing-group.ts
@@ -1,26 +1,26 @@
-/** The targets of one service with what this node has seen of them. */
+/** The targets of one service and the statistics of this node about them. */
 import type {EjectionGroup} from './ejection.js';
 import {createGroupLoad, type GroupLoad} from './group-load.js';
 import type {RoutingCandidate} from './policy.js';
 import {createRetryBudget, type RetryBudget} from './retry-budget.js';
 import {createTargetView, type TargetView} from './target-view.js';
 import type {TypicalDurations} from './typical-durations.js';
-import type {UpstreamRefusal} from './upstream-refusal.js';
+import type {ServiceLevels} from './upstream-refusal.js';
 
 /** The state of one service at an entry node. */
 export type RoutingGroup = EjectionGroup & {
 	byNode: Map<string, TargetView>;
-	/** Those that take work, the ones of the own data centre, and the rest. */
+	/** The active targets, those of the local data centre, and the others. */
 	views: TargetView[];
 	local: TargetView[];
 	remote: TargetView[];
-	/** Those that membership suspects: the last resort. */
+	/** The targets that membership suspects: the last resort. */
 	suspect: TargetView[];
 	durations: TypicalDurations;
 	load: GroupLoad;
 	/** The moving average of the durations of answered attempts, in milliseconds. */
-	typical: number;
-	levels: UpstreamRefusal;
+	averageDuration: number;
+	levels: ServiceLevels;
 	budget: RetryBudget;
 };
 
@@ -35,13 +35,13 @@
 		ejected: new Set(),
 		durations: new Map(),
 		load: createGroupLoad(),
-		typical: 0,
+		averageDuration: 0,
 		levels: new Map(),
 		budget: createRetryBudget(),
 	};
 }
 
-/** Replaces the targets; what was seen of those that stay is kept. */
+/** Replaces the targets; the statistics of those that stay are retained. */
 export function replaceCandidates(
 	group: RoutingGroup,
 	candidates: RoutingCandidate[],
--- a/packages/decisions/src/routing.ts
+++ b/packages/decisions/src/routing.ts
@@ -1,15 +1,16 @@
 /**
- * Routing at the entry node: puts the modules together. What was seen of each
- * target is learnt at the end of an attempt; a choice only reads it.
+ * Routing at the entry node. Statistics of targets are updated at the end of
+ * an attempt; choosing a target only reads them. This module only combines the
+ * others.
  */
 import {ErrorCode} from '@egretspoke/protocol';
-import {fixedComeBackTime} from './admission-options.js';
-import {attemptsBelow, hasAttempts} from './chain-attempts.js';
-import {comeBackTime} from './come-back-time.js';
-import {judgeTarget} from './ejection.js';
-import {isGroupOverloaded, noteAttempt} from './group-load.js';
-import {highestLevel} from './admission-level.js';
-import {learnLevelBelow} from './levels-below.js';
+import {fixedRetryAfterTime} from './admission-options.js';
+import {downstreamAttempts, hasAttempts} from './chain-attempts.js';
+import {retryAfterTime} from './retry-after-time.js';
+import {updateEjection} from './ejection.js';
+import {isGroupOverloaded, recordAttempt} from './group-load.js';
+import {maxLevel} from './admission-level.js';
+import {recordDownstreamLevel} from './downstream-levels.js';
 import type {
 	AttemptResult,
 	CallFacts,
@@ -20,7 +21,7 @@
 	RoutingPolicy,
 } from './policy.js';
 import {earnRetry, spendRetry} from './retry-budget.js';
-import {isLoadRefusal, reactTo} from './retry-decision.js';
+import {isLoadRefusal, reactionTo} from './retry-decision.js';
 import {
 	createRoutingGroup,
 	replaceCandidates,
@@ -28,21 +29,25 @@
 } from './routing-group.js';
 import {chooseTarget, createChoiceOptions} from './target-choice.js';
 import {
-	noteEnd,
-	noteFailure,
-	noteReport,
-	noteSlowness,
-	noteStart,
+	recordEnd,
+	recordFailure,
+	recordReport,
+	recordSlowness,
+	recordStart,
 } from './target-view.js';
 import {drawOne} from './two-choices.js';
-import {learnTypical, typicalOf} from './typical-durations.js';
-import {isRefusedUpstream, noteLevel, seenLevel} from './upstream-refusal.js';
+import {typicalOf, updateTypical} from './typical-durations.js';
+import {
+	isRefusedUpstream,
+	observedLevel,
+	recordLevel,
+} from './upstream-refusal.js';
 
-/** Attempts at every layer while the chain's attempts are switched off. */
-const uncountedAttempts = 3;
-/** Ends that say something of the target's speed. */
+/** Attempts at every layer while `chain-attempts` is switched off. */
+const defaultAttempts = 3;
+/** Results whose duration counts for the target's speed. */
 const isAnswer: Partial<Record<AttemptResult['result'], boolean>> = {ok: true};
-/** Ends that say that the target itself failed. */
+/** Results that count as a failure of the target itself. */
 const isFault: Partial<Record<AttemptResult['result'], boolean>> = {
 	unknown: true,
 	unreachable: true,
@@ -50,12 +55,12 @@
 
 /** Creates the routing of one entry node. */
 export function createRouting(context: PolicyContext): RoutingPolicy {
-	const {dataCentre, random, without, below} = context;
+	const {dataCentre, random, without, downstreamLevels} = context;
 	const choiceOptions = createChoiceOptions(without);
 	const hasUpstreamRefusal = !without?.has('upstream-refusal');
 	const hasRetryBudget = !without?.has('retry-budget');
 	const hasChainAttempts = !without?.has('chain-attempts');
-	const hasComeBackTimes = !without?.has('come-back-times');
+	const hasRetryAfterTimes = !without?.has('come-back-times');
 	const groups = new Map<string, RoutingGroup>();
 
 	const groupOf = (service: string) => {
@@ -72,16 +77,17 @@
 		group: RoutingGroup,
 		code: ErrorCode,
 		reason: string,
-		told?: number,
+		reportedRetryAfter?: number,
 	): RefusalDecision => {
-		if (told !== undefined || !hasComeBackTimes) {
-			const retryAfter = told ?? fixedComeBackTime;
+		if (reportedRetryAfter !== undefined || !hasRetryAfterTimes) {
+			const retryAfter = reportedRetryAfter ?? fixedRetryAfterTime;
 			return {kind: 'refuse', code, reason, retryAfter};
 		}
 
-		// One service time of the whole group, spread over as much again for each tenth that is refused.
-		const serviceTime = group.typical;
-		const retryAfter = comeBackTime(
+		// One service time of the whole group, plus a random part that grows by
+		// one service time for each tenth of attempts refused.
+		const serviceTime = group.averageDuration;
+		const retryAfter = retryAfterTime(
 			{
 				waiting: 0,
 				refused: 10 * group.load.refusedShare,
@@ -100,9 +106,11 @@
 	): RoutingDecision => {
 		const group = groupOf(call.service);
 		if (hasUpstreamRefusal && isRefusedUpstream(group.levels, call, now)) {
-			const level = Math.round(seenLevel(group.levels, call.operation, now));
-			if (below) {
-				learnLevelBelow(below, call.chain ?? call.id, {
+			const level = Math.round(
+				observedLevel(group.levels, call.operation, now),
+			);
+			if (downstreamLevels) {
+				recordDownstreamLevel(downstreamLevels, call.chain ?? call.id, {
 					service: call.service,
 					level,
 					now,
@@ -124,7 +132,7 @@
 		});
 		return choice
 			? {kind: 'send', node: choice.view.candidate.node, reason: choice.reason}
-			: refuse(group, ErrorCode.NoTarget, 'no candidate is left');
+			: refuse(group, ErrorCode.NoTarget, 'no target is available');
 	};
 
 	const learn = (
@@ -136,14 +144,14 @@
 		const view = group.byNode.get(result.node);
 		const typical = typicalOf(group.durations, call.operation);
 		if (view) {
-			noteEnd(view, call.id);
-			noteFailure(view, isFault[result.result] === true);
+			recordEnd(view, call.id);
+			recordFailure(view, isFault[result.result] === true);
 		}
 
-		noteAttempt(group.load, isLoadRefusal(result));
+		recordAttempt(group.load, isLoadRefusal(result));
 		if (isAnswer[result.result]) {
-			learnTypical(group.durations, call.operation, result.duration);
-			group.typical += (result.duration - group.typical) / 16;
+			updateTypical(group.durations, call.operation, result.duration);
+			group.averageDuration += (result.duration - group.averageDuration) / 16;
 			earnRetry(group.budget, call.caller);
 		}
 
@@ -151,15 +159,15 @@
 			return;
 		}
 
-		const isWhole = isAnswer[result.result] === true;
+		const isComplete = isAnswer[result.result] === true;
 		const ratio = typical > 0 ? result.duration / typical : 1;
-		if (isWhole) {
-			noteSlowness(view, ratio, now);
+		if (isComplete) {
+			recordSlowness(view, ratio, now);
 		}
 
 		if (choiceOptions.hasEjection) {
 			const other = drawOne(group.views, (each) => each !== view, random);
-			judgeTarget(group, view, {ratio, isWhole, other}, now);
+			updateEjection(group, view, {ratio, isComplete, other}, now);
 		}
 	};
 
@@ -172,7 +180,7 @@
 			const group = groupOf(call.service);
 			const view = group.byNode.get(node);
 			if (view) {
-				noteStart(
+				recordStart(
 					view,
 					call.id,
 					typicalOf(group.durations, call.operation),
@@ -185,23 +193,23 @@
 			learn(group, call, result, now);
 			if (result.load) {
 				const {level} = result.load;
-				noteLevel(group.levels, call.operation, level, now);
-				if (below) {
+				recordLevel(group.levels, call.operation, level, now);
+				if (downstreamLevels) {
 					const chain = call.chain ?? call.id;
 					const {service} = call;
-					learnLevelBelow(below, chain, {service, level, now});
+					recordDownstreamLevel(downstreamLevels, chain, {service, level, now});
 				}
 			}
 		},
 		observe(service, node, report, now) {
 			const view = groups.get(service)?.byNode.get(node);
 			if (view) {
-				noteReport(view, report, now);
+				recordReport(view, report, now);
 			}
 		},
 		retry(call, result, now): RetryDecision {
 			const group = groupOf(call.service);
-			const refusal = barOf(group, call, result, now);
+			const refusal = retryObstacle(group, call, result, now);
 			if (refusal) {
 				const [code, reason] = refusal;
 				return refuse(group, code, reason, result.retryAfter);
@@ -211,7 +219,7 @@
 				return refuse(
 					group,
 					ErrorCode.RetryBudgetSpent,
-					`the budget towards ${call.service} is spent`,
+					`the retry budget for ${call.service} is spent`,
 					result.retryAfter,
 				);
 			}
@@ -220,24 +228,24 @@
 				kind: 'retry',
 				delay: 0,
 				exclude: [result.node],
-				reason: `${result.node} did not run it`,
+				reason: `${result.node} did not run the request`,
 			};
 		},
-		attemptsBelow: (call) =>
-			hasChainAttempts ? attemptsBelow(call) : uncountedAttempts,
+		downstreamAttempts: (call) =>
+			hasChainAttempts ? downstreamAttempts(call) : defaultAttempts,
 	};
 
-	/** Why there is no further attempt, if so. */
-	function barOf(
+	/** The reason why no further attempt is made; undefined when one may be made. */
+	function retryObstacle(
 		group: RoutingGroup,
 		call: CallFacts,
 		result: AttemptResult,
 		now: number,
 	): [ErrorCode, string] | undefined {
 		const code = result.code ?? ErrorCode.Overloaded;
-		const reaction = reactTo(result);
+		const reaction = reactionTo(result);
 		if (reaction === 'never') {
-			return [code, 'it would end the same elsewhere'];
+			return [code, 'the request would end the same at another target'];
 		}
 
 		if (!hasAttempts(call)) {
@@ -248,10 +256,10 @@
 			return [ErrorCode.DeadlinePassed, 'the deadline has passed'];
 		}
 
-		const level = seenLevel(group.levels, call.operation, now);
+		const level = observedLevel(group.levels, call.operation, now);
 		if (
 			reaction === 'ifGroupAllows' &&
-			(isGroupOverloaded(group.load) || level < highestLevel)
+			(isGroupOverloaded(group.load) || level < maxLevel)
 		) {
 			return [code, `${call.service} is overloaded as a whole`];
 		}
