--- a/packages/quarantine/__tests__/suspect-table.spec.ts
+++ b/packages/quarantine/__tests__/suspect-table.spec.ts
@@ -132,7 +132,7 @@
 });
 
 describe('the retention of suspects', () => {
-	it('ends when a request is no longer repeated', () => {
+	it('ends when a request is no longer repeated, and not before', () => {
 		const table = createSuspectTable();
 		table.recordCrash([run('deadly', 0, 2), run('gone', 0, 2)], 100);
 		lookUp(table, 'deadly', retentionPeriod);
