--- a/packages/control/src/suspect-rows.ts
+++ b/packages/control/src/suspect-rows.ts
@@ -5,9 +5,9 @@
  * found itself, and all nodes read all rows periodically.
  */
 import {
-	createNotedSuspects,
+	createLocalSuspects,
 	createRowWriter,
-	readNoted,
+	parseLocalSuspects,
 	type Suspect,
 } from '@egretspoke/quarantine';
 import type {Platform} from '@egretspoke/storage';
@@ -39,7 +39,7 @@
 /** Creates the access to the rows; reads nothing before `run`. */
 export function createSuspectRows(options: SuspectRowsOptions): SuspectRows {
 	const {platform, clock, random} = options;
-	const storedSuspects = createNotedSuspects(clock);
+	const storedSuspects = createLocalSuspects(clock);
 	const key = `${suspectPrefix}${options.node}`;
 
 	const writer = createRowWriter({
@@ -47,7 +47,7 @@
 		random,
 		async write() {
 			const rows = await platform.table.transact([
-				{kind: 'put', key, value: storedSuspects.toText()},
+				{kind: 'put', key, value: storedSuspects.serialize()},
 			]);
 			return rows.isOk();
 		},
@@ -61,13 +61,13 @@
 		}
 
 		for (const row of rows.value) {
-			const suspects = readNoted(row.value, clock) ?? [];
+			const suspects = parseLocalSuspects(row.value, clock) ?? [];
 			if (row.key !== key || isFirst) {
 				options.onSuspects(suspects);
 			}
 
 			if (row.key === key && isFirst) {
-				storedSuspects.keepEarlier(suspects);
+				storedSuspects.restore(suspects);
 			}
 		}
 
@@ -76,7 +76,7 @@
 
 	return {
 		persist(suspects) {
-			storedSuspects.note(suspects);
+			storedSuspects.record(suspects);
 			writer.request();
 		},
 		async run(signal) {
--- a/packages/ledger/__tests__/attempt-at-most-once.spec.ts
+++ b/packages/ledger/__tests__/attempt-at-most-once.spec.ts
@@ -1,9 +1,9 @@
 import {
 	acceptCertifiedRefusal,
-	admitUnknown,
+	createUnknownOutcome,
 	createRefusal,
 	ErrorCode,
-	refuseNotRun,
+	createNotRunOutcome,
 	type Answer,
 	type Outcome,
 	type Refusal,
@@ -18,10 +18,10 @@
 } from '../src/index.js';
 
 describe('attempts at a non-idempotent request', () => {
-	it('give every caller of one key the answer of the one run', async () => {
-		// A client sends the same booking again and again while the first is
-		// running. Each copy that were dispatched would book a shift.
-		const home = create();
+	it('return the answer of the only run to every caller of a key', async () => {
+		// Guards against duplicate bookings when a client repeats a booking while
+		// the first attempt is still running.
+		const home = createHome();
 		const attempts = Array.from({length: 20}, async () => home.attempt());
 		await home.clock.runTo(50);
 		const outcomes = await Promise.all(attempts);
@@ -30,7 +30,7 @@
 	});
 
 	it('try a second target only after a definite refusal', async () => {
-		const home = create({
+		const home = createHome({
 			dispatch: async (attempt) =>
 				attempt.number < 3 ? refuseAfterHandOver(attempt) : home.run(attempt),
 		});
@@ -41,12 +41,12 @@
 	});
 
 	it('are never repeated after a lost answer', async () => {
-		// The target charges the boat owner and its connection breaks before the
-		// answer. Tried at a second target, the payment would run twice.
-		const home = create({
+		// The target runs a payment, and its connection is lost before the answer.
+		// A retry at a second target would run the payment twice.
+		const home = createHome({
 			async dispatch(attempt) {
 				await home.run(attempt);
-				return admitUnknown(createRefusal(ErrorCode.AnswerLost));
+				return createUnknownOutcome(createRefusal(ErrorCode.AnswerLost));
 			},
 		});
 		const first = home.attempt();
@@ -56,8 +56,8 @@
 		expect(home.ran()).to.equal(1);
 	});
 
-	it('end with the refusal when the retries are spent, and free the key', async () => {
-		const home = create({
+	it('end with the refusal when no retries are left, and release the key', async () => {
+		const home = createHome({
 			dispatch: async (attempt) => refuseAfterHandOver(attempt),
 			retry: async (refusal, number) => (number < 2 ? undefined : refusal),
 		});
@@ -67,10 +67,10 @@
 	});
 
 	it('are not dispatched by a home that was frozen past the deadline', async () => {
-		// The home is stopped while it holds a booking, and its caller gives up.
-		// On waking, work that was ready runs before the timers that are overdue;
-		// the booking would appear long after the caller was told of its end.
-		const home = create({
+		// The home is frozen while it holds a booking, and the deadline passes. When
+		// it resumes, pending work runs before overdue timers; the booking would
+		// appear long after its caller had received the refusal.
+		const home = createHome({
 			async dispatch(attempt) {
 				await sleep(home.frozen.clock, 10);
 				return home.run(attempt);
@@ -84,10 +84,10 @@
 		expect(home.ran()).to.equal(0);
 	});
 
-	it('are answered at the deadline, and a repeat finds the late answer', async () => {
-		// A booking takes longer than its caller waits. The caller must hear at
-		// once that it may have run, and its repeat must not book again.
-		const home = create({
+	it('are answered at the deadline, and a repeat receives the late answer', async () => {
+		// A booking takes longer than its deadline. The caller must immediately
+		// receive that it may have run, and its repeat must not book again.
+		const home = createHome({
 			async dispatch(attempt) {
 				const outcome = await home.run(attempt);
 				await sleep(home.clock, 5000);
@@ -106,8 +106,8 @@
 		expect(home.ran()).to.equal(1);
 	});
 
-	it('are truthfully not run at the deadline while still waiting', async () => {
-		const home = create({
+	it('are not run when the deadline passes before the hand-over', async () => {
+		const home = createHome({
 			dispatch: async (attempt) => waitForever(attempt),
 		});
 		const outcome = home.attempt();
@@ -117,8 +117,8 @@
 		expect(home.ledger.size().keys).to.equal(0);
 	});
 
-	it('are not run at the deadline during the back-off after a refusal', async () => {
-		const home = create({
+	it('are not run when the deadline passes during the backoff after a refusal', async () => {
+		const home = createHome({
 			dispatch: async (attempt) => refuseAfterHandOver(attempt),
 			async retry() {
 				await sleep(home.clock, 5000);
@@ -132,9 +132,9 @@
 		expect(home.ran()).to.equal(0);
 	});
 
-	it('stop waiting when the caller goes before the hand-over', async () => {
+	it('stop waiting when the caller disconnects before the hand-over', async () => {
 		const caller = new AbortController();
-		const home = create({
+		const home = createHome({
 			dispatch: async (attempt) => waitForever(attempt),
 		});
 		const first = home.attempt({signal: caller.signal});
@@ -143,11 +143,11 @@
 		expect(kindOf(await first)).to.equal('notRun');
 	});
 
-	it('finish when the caller goes after the hand-over', async () => {
-		// A phone loses its connection while the payment runs, and repeats it.
-		// Had the payment been cancelled halfway, nobody could tell its end.
+	it('finish when the caller disconnects after the hand-over', async () => {
+		// A phone loses its connection while a payment runs, and repeats it. If the
+		// payment had been cancelled midway, its outcome would be unknown.
 		const caller = new AbortController();
-		const home = create();
+		const home = createHome();
 		const first = home.attempt({signal: caller.signal});
 		await home.clock.runTo(5);
 		caller.abort();
@@ -158,12 +158,12 @@
 		expect(home.ran()).to.equal(1);
 	});
 
-	it('let a waiting repeat take the place of a caller that went', async () => {
-		// The first copy waits in the queue when its connection breaks. Told "the
-		// caller has gone", the second copy's user would see a needless refusal.
+	it('let a waiting repeat replace an attempt whose caller has disconnected', async () => {
+		// The caller of the first attempt disconnects while it is queued. If the
+		// repeat shared its `CallerGone` outcome, it would be refused needlessly.
 		const caller = new AbortController();
 		let calls = 0;
-		const home = create({
+		const home = createHome({
 			dispatch: async (attempt) =>
 				calls++ === 0 ? waitForever(attempt) : home.run(attempt),
 		});
@@ -176,10 +176,11 @@
 		expect(home.ran()).to.equal(1);
 	});
 
-	it('lose a refusal that races the dispatch', async () => {
-		// The deadline fires in the same turn in which the request is handed
-		// over. Whoever is second must not win, or a "not run" would have run.
-		const home = create({
+	it('are not dispatched when the deadline passes in the same turn', async () => {
+		// The deadline timer fires in the same turn in which the request is handed
+		// over. Only the first of both may take effect; otherwise a request that
+		// was reported as not run would have run.
+		const home = createHome({
 			async dispatch(attempt) {
 				await sleep(home.clock, 1000 - home.clock.now());
 				return home.run(attempt);
@@ -194,9 +195,9 @@
 	for (const handedOver of [false, true]) {
 		const kind = handedOver ? 'unknown' : 'notRun';
 		it(`end as ${kind} when the dispatch fails ${handedOver ? 'after' : 'before'} the hand-over`, async () => {
-			// A fault in the node throws in the middle of a dispatch. Only the
-			// ticket still tells whether the request had left.
-			const home = create({
+			// An error is thrown during a dispatch. Only the state of the ticket
+			// shows whether the request was already sent.
+			const home = createHome({
 				async dispatch(attempt) {
 					if (handedOver) {
 						attempt.ticket.handOver();
@@ -212,7 +213,7 @@
 	}
 
 	it('are not handed over once the key has expired in the queue', async () => {
-		const home = create({
+		const home = createHome({
 			async dispatch(attempt) {
 				await sleep(home.clock, 500);
 				return home.run(attempt);
@@ -233,13 +234,19 @@
 
 type Overrides = Partial<Pick<AttemptOptions, 'dispatch' | 'retry'>>;
 
-/** A home whose target takes 20 ms; `frozen` reads as a process that lost time. */
-function create(overrides: Overrides = {}) {
+/**
+ * Creates a home whose target takes 20 ms. A value of `frozen.now` ahead of the
+ * clock simulates a process that was frozen until then.
+ */
+function createHome(overrides: Overrides = {}) {
 	const clock = createVirtualClock();
 	const frozen = {now: 0, clock};
-	const seen = {...clock, now: () => Math.max(frozen.now, clock.now())};
+	const freezableClock = {
+		...clock,
+		now: () => Math.max(frozen.now, clock.now()),
+	};
 	const ledger = createLedger({
-		clock: seen,
+		clock: freezableClock,
 		capacity: 100,
 		bytesCapacity: 10_000,
 		maximumLifetime: 600_000,
@@ -257,19 +264,23 @@
 		return {kind: 'answered', answer};
 	};
 
-	type Given = {deadline?: number; signal?: AbortSignal; lifetime?: number};
-	const attempt = async (given: Given = {}) =>
+	type RequestOptions = {
+		deadline?: number;
+		signal?: AbortSignal;
+		lifetime?: number;
+	};
+	const attempt = async (requestOptions: RequestOptions = {}) =>
 		attemptAtMostOnce({
-			clock: seen,
+			clock: freezableClock,
 			ledger,
 			request: {
 				service: 'bookings',
 				key: 'key',
 				fingerprint: 'fingerprint',
-				expiry: origin + (given.lifetime ?? 60_000),
+				expiry: origin + (requestOptions.lifetime ?? 60_000),
 			},
-			deadline: given.deadline ?? 1000,
-			signal: given.signal ?? new AbortController().signal,
+			deadline: requestOptions.deadline ?? 1000,
+			signal: requestOptions.signal ?? new AbortController().signal,
 			dispatch: overrides.dispatch ?? run,
 			retry: overrides.retry ?? (async () => undefined),
 		});
@@ -279,7 +290,7 @@
 
 function refuseAfterHandOver(attempt: Attempt): Outcome {
 	return attempt.ticket.handOver()
-		? refuseNotRun(
+		? createNotRunOutcome(
 				acceptCertifiedRefusal('peer'),
 				createRefusal(ErrorCode.Overloaded),
 			)
@@ -296,7 +307,7 @@
 function endUnsent(attempt: Attempt): Outcome {
 	const refusal =
 		attempt.ticket.obstacle() ?? createRefusal(ErrorCode.CallerGone);
-	return refuseNotRun(attempt.ticket.surrender()._unsafeUnwrap(), refusal);
+	return createNotRunOutcome(attempt.ticket.revoke()._unsafeUnwrap(), refusal);
 }
 
 function kindOf(outcome: Outcome): Outcome['kind'] {
--- a/packages/mesh/src/suspects.ts
+++ b/packages/mesh/src/suspects.ts
@@ -1,8 +1,8 @@
 /** The quarantine of a mesh node: looks up requests by their parts, and shares suspects over links, gossip and the store. */
 import {
 	createQuarantine,
-	expiryPeriod,
-	renewalPeriod,
+	expiryInterval,
+	renewalInterval,
 	toSuspect,
 	toTuple,
 	type Quarantine,
@@ -36,7 +36,7 @@
 >;
 
 /** The quarantine of the node. */
-export type Suspects = Pick<Quarantine, 'noteCrash'> & {
+export type Suspects = Pick<Quarantine, 'recordCrash'> & {
 	/** Returns the crashes recorded for the request; undefined if no target crashed under it. */
 	lookUp(request: IdentifiableRequest): Suspect | undefined;
 	/** Records that the local target answered the request. */
@@ -55,15 +55,15 @@
 	const {headerNames, reporter} = options;
 	const quarantine = createQuarantine({
 		clock: options.clock,
-		spread(suspects) {
+		broadcast(suspects) {
 			options.broadcast(toMessage(suspects));
 		},
-		passOn(suspects) {
+		gossip(suspects) {
 			for (const suspect of suspects) {
 				options.gossip().add(suspect);
 			}
 		},
-		keep(suspects) {
+		persist(suspects) {
 			options.register().record(suspects);
 		},
 		onQuarantined({identity, crashes}) {
@@ -72,27 +72,27 @@
 	});
 
 	return {
-		noteCrash: quarantine.noteCrash,
+		recordCrash: quarantine.recordCrash,
 		lookUp: (request) =>
 			quarantine.lookUp(request.path, request.body?.byteLength ?? 0, () =>
 				partsOf(request, headerNames),
 			),
 		recordAnswer(request) {
-			quarantine.noteAnswer(request.path, request.body?.byteLength ?? 0, () =>
+			quarantine.recordAnswer(request.path, request.body?.byteLength ?? 0, () =>
 				partsOf(request, headerNames),
 			);
 		},
 		receive({suspects}) {
-			quarantine.take(suspects.map((tuple) => toSuspect(tuple)));
+			quarantine.receive(suspects.map((tuple) => toSuspect(tuple)));
 		},
-		applyStored: quarantine.take,
+		applyStored: quarantine.receive,
 		initialMessages() {
 			const suspects = quarantine.list();
 			return suspects.length === 0 ? [] : [toMessage(suspects)];
 		},
 		start(ticker) {
-			ticker.schedule(expiryPeriod, quarantine.expire);
-			ticker.schedule(renewalPeriod, quarantine.renew);
+			ticker.schedule(expiryInterval, quarantine.expire);
+			ticker.schedule(renewalInterval, quarantine.renew);
 		},
 	};
 }
--- a/packages/mesh/src/target-dispatcher.ts
+++ b/packages/mesh/src/target-dispatcher.ts
@@ -61,7 +61,7 @@
 	/** Limit on repeated offers to a service, over all nodes. */
 	retryBudget: OfferBudgetOptions;
 	/** Registry of requests during which targets crashed. */
-	suspects: Pick<Suspects, 'lookUp' | 'noteCrash' | 'recordAnswer'>;
+	suspects: Pick<Suspects, 'lookUp' | 'recordCrash' | 'recordAnswer'>;
 	/** Called with false when the target is unreachable or was replaced, with true once it answers again. */
 	onReachable: (isReachable: boolean) => void;
 };
@@ -131,12 +131,12 @@
 			clock,
 			isLeaving: () => target?.isLeaving ?? true,
 			onCrash(crashedRuns, lost) {
-				for (const pending of isolation.takeOut(() => true)) {
+				for (const pending of isolation.removeWhere(() => true)) {
 					refuse(pending, 'targetUnreachable');
 				}
 
-				const {noteCrash} = suspects;
-				reportCrash({...options, recordCrash: noteCrash}, crashedRuns, lost);
+				const {recordCrash} = suspects;
+				reportCrash({...options, recordCrash}, crashedRuns, lost);
 			},
 			probe(onResult) {
 				if (target) {
@@ -372,7 +372,7 @@
 			offeredAt + request.maxWait < now;
 		for (const pending of [
 			...admission.expire(now),
-			...isolation.takeOut(isOverdue),
+			...isolation.removeWhere(isOverdue),
 		]) {
 			refuse(pending, 'waitedTooLong');
 		}
@@ -398,7 +398,7 @@
 
 	const removeWaiting = (): PendingRequest[] => [
 		...admission.clear(),
-		...isolation.takeOut(() => true),
+		...isolation.removeWhere(() => true),
 	];
 
 	return {
--- a/packages/node/src/entry-refusal.ts
+++ b/packages/node/src/entry-refusal.ts
@@ -1,9 +1,9 @@
 /** Refusals that the entry node issues itself. */
 import {
-	admitUnknown,
+	createUnknownOutcome,
 	createHandOverTicket,
 	createRefusal,
-	refuseNotRun,
+	createNotRunOutcome,
 	type ErrorCode,
 	type Outcome,
 } from '@egretspoke/protocol';
@@ -19,10 +19,10 @@
 		...(detail !== undefined && {detail}),
 	});
 	return createHandOverTicket()
-		.surrender()
+		.revoke()
 		.match<Outcome>(
-			(proof) => refuseNotRun(proof, refusal),
-			() => admitUnknown(refusal),
+			(proof) => createNotRunOutcome(proof, refusal),
+			() => createUnknownOutcome(refusal),
 		);
 }
 
@@ -32,7 +32,7 @@
  * whose earlier attempt may have run, would take it for the whole request.
  */
 export function refuseAsUnknown(code: ErrorCode, retryAfter?: number): Outcome {
-	return admitUnknown(
+	return createUnknownOutcome(
 		createRefusal(code, {...(retryAfter !== undefined && {retryAfter})}),
 	);
 }
--- a/packages/node/src/exchange-table.ts
+++ b/packages/node/src/exchange-table.ts
@@ -11,10 +11,10 @@
  */
 import {
 	acceptCertifiedRefusal,
-	admitUnknown,
+	createUnknownOutcome,
 	createRefusal,
 	ErrorCode,
-	refuseNotRun,
+	createNotRunOutcome,
 	type AnswerMessage,
 	type LoadReport,
 	type Message,
@@ -133,7 +133,7 @@
 	answered(message) {
 		const {status, headers, body, length, repeated} = message;
 		if (status === undefined || body?.length !== length) {
-			return admitUnknown(createRefusal(ErrorCode.AnswerCut));
+			return createUnknownOutcome(createRefusal(ErrorCode.AnswerCut));
 		}
 
 		return {
@@ -143,8 +143,8 @@
 		};
 	},
 	notRun: (message) =>
-		refuseNotRun(acceptCertifiedRefusal('peer'), readRefusal(message)),
-	unknown: (message) => admitUnknown(readRefusal(message)),
+		createNotRunOutcome(acceptCertifiedRefusal('peer'), readRefusal(message)),
+	unknown: (message) => createUnknownOutcome(readRefusal(message)),
 };
 
 function readAnswer(message: AnswerMessage): ExchangeResult {
@@ -168,7 +168,7 @@
 export function createUnsentResult(): ExchangeResult {
 	return {
 		isUnsent: true,
-		outcome: refuseNotRun(
+		outcome: createNotRunOutcome(
 			acceptCertifiedRefusal('connectRefused'),
 			createRefusal(ErrorCode.TargetUnreachable, {retryAfter: 0}),
 		),
@@ -176,5 +176,5 @@
 }
 
 function lost(code: ErrorCode): ExchangeResult {
-	return {outcome: admitUnknown(createRefusal(code))};
+	return {outcome: createUnknownOutcome(createRefusal(code))};
 }
--- a/packages/node/src/ingress.ts
+++ b/packages/node/src/ingress.ts
@@ -3,7 +3,7 @@
  * entry node, passes admission here and is handed over at most once.
  */
 import {
-	admitUnknown,
+	createUnknownOutcome,
 	createHandOverTicket,
 	createRefusal,
 	ErrorCode,
@@ -139,7 +139,7 @@
 		isLeaving ? ErrorCode.Leaving : context.getRefusalCode();
 
 	const refuseQuarantined = () =>
-		admitUnknown(createRefusal(ErrorCode.Quarantined));
+		createUnknownOutcome(createRefusal(ErrorCode.Quarantined));
 
 	/** Runs a request that may crash the target; only one such request runs at a time. */
 	const runIsolated = async (
--- a/packages/node/src/node-quarantine.ts
+++ b/packages/node/src/node-quarantine.ts
@@ -5,9 +5,9 @@
 import type {Member, SuspectsMessage} from '@egretspoke/protocol';
 import {
 	createQuarantine,
-	expiryPeriod,
+	expiryInterval,
 	isQuarantined,
-	renewalPeriod,
+	renewalInterval,
 	toSuspect,
 	toTuple,
 	type CrashedRun,
@@ -77,19 +77,19 @@
 
 	const quarantine = createQuarantine({
 		clock,
-		spread(suspects) {
+		broadcast(suspects) {
 			sendToAll(others(), suspects);
 		},
-		passOn(suspects) {
+		gossip(suspects) {
 			sendToAll(sample(others(), gossipFanout, random), suspects);
 		},
-		keep: options.persistSuspects,
+		persist: options.persistSuspects,
 		onQuarantined({identity, crashes}) {
 			reporter.recordEvent({name: 'requestQuarantined', identity, crashes});
 		},
 	});
-	void createTicks(clock, expiryPeriod, signal).observe(quarantine.expire);
-	void createTicks(clock, renewalPeriod, signal).observe(quarantine.renew);
+	void createTicks(clock, expiryInterval, signal).observe(quarantine.expire);
+	void createTicks(clock, renewalInterval, signal).observe(quarantine.renew);
 
 	const lookUp = (call: CallIdentity) =>
 		quarantine.lookUp(call.path, call.body.byteLength, () =>
@@ -113,16 +113,16 @@
 			});
 			return true;
 		},
-		recordCrash: quarantine.noteCrash,
+		recordCrash: quarantine.recordCrash,
 		recordAnswer(call) {
-			quarantine.noteAnswer(call.path, call.body.byteLength, () =>
+			quarantine.recordAnswer(call.path, call.body.byteLength, () =>
 				toRequestParts(call),
 			);
 		},
 		receiveSuspects({suspects}) {
-			quarantine.take(suspects.map((tuple) => toSuspect(tuple)));
+			quarantine.receive(suspects.map((tuple) => toSuspect(tuple)));
 		},
-		applyStoredSuspects: quarantine.take,
+		applyStoredSuspects: quarantine.receive,
 		initialMessage() {
 			const suspects = quarantine.list();
 			return suspects.length === 0 ? undefined : toMessage(suspects);
--- a/packages/quarantine/__tests__/crash-detector.spec.ts
+++ b/packages/quarantine/__tests__/crash-detector.spec.ts
@@ -1,9 +1,9 @@
 import {createVirtualClock} from '@egretspoke/shared';
 import {expect} from 'chai';
-import {createCrashDetector, settleTime} from '../src/index.js';
+import {createCrashDetector, settleTimeout} from '../src/index.js';
 
-/** A detector over runs that are named by texts. */
-function createWatch({isListening}: {isListening: boolean}) {
+/** Creates a detector whose runs are identified by names. */
+function createTestDetector({isListening}: {isListening: boolean}) {
 	const clock = createVirtualClock();
 	const verdicts: Array<[string[], boolean]> = [];
 	let probes = 0;
@@ -39,9 +39,9 @@
 	};
 }
 
-describe('the crash of a target', () => {
-	it('is found as soon as all of its requests are lost and it takes no connection', () => {
-		const {start, lose, verdicts} = createWatch({isListening: false});
+describe('a crash of a target', () => {
+	it('is detected as soon as all of its requests are lost and it refuses connections', () => {
+		const {start, lose, verdicts} = createTestDetector({isListening: false});
 		start('a', 'b', 'c');
 		lose('a', 'b');
 		expect(verdicts).to.deep.equal([]);
@@ -49,8 +49,8 @@
 		expect(verdicts).to.deep.equal([[['a', 'b', 'c'], true]]);
 	});
 
-	it('is found when a new request is refused, also for those whose ends are noticed later', () => {
-		const {start, end, lose, detector, verdicts} = createWatch({
+	it('is detected when a new request is refused, also for runs whose ends are noticed later', () => {
+		const {start, end, lose, detector, verdicts} = createTestDetector({
 			isListening: true,
 		});
 		start('a', 'b');
@@ -66,7 +66,7 @@
 	});
 
 	it('does not wait for requests that began after the first loss', () => {
-		const {start, lose, verdicts} = createWatch({isListening: false});
+		const {start, lose, verdicts} = createTestDetector({isListening: false});
 		start('a', 'b');
 		lose('a');
 		start('new');
@@ -74,8 +74,10 @@
 		expect(verdicts).to.deep.equal([[['a', 'b'], true]]);
 	});
 
-	it('is found when the last of the others ends by an answer that was under way', () => {
-		const {start, end, lose, verdicts} = createWatch({isListening: false});
+	it('is detected when the last of the other requests ends with an answer that was in transit', () => {
+		const {start, end, lose, verdicts} = createTestDetector({
+			isListening: false,
+		});
 		start('a', 'b');
 		lose('a');
 		end('b');
@@ -83,12 +85,14 @@
 	});
 });
 
-describe('a crash whose last ends are noticed late', () => {
-	it('is found by a connection that is refused', () => {
-		const {clock, start, lose, verdicts} = createWatch({isListening: false});
+describe('a crash whose last connection ends are noticed late', () => {
+	it('is detected by a refused connection', () => {
+		const {clock, start, lose, verdicts} = createTestDetector({
+			isListening: false,
+		});
 		start('a', 'b', 'c', 'd');
 		lose('a', 'b', 'c');
-		clock.advanceTo(settleTime);
+		clock.advanceTo(settleTimeout);
 		lose('d');
 		expect(verdicts).to.deep.equal([
 			[['a', 'b', 'c'], true],
@@ -98,26 +102,28 @@
 });
 
 describe('a lost connection', () => {
-	it('is no crash while other requests of the target go on', () => {
-		const {clock, start, lose, verdicts, probes} = createWatch({
+	it('is not a crash while other requests of the target continue', () => {
+		const {clock, start, lose, verdicts, probes} = createTestDetector({
 			isListening: false,
 		});
 		start('a', 'b', 'c');
 		lose('a');
-		clock.advanceTo(settleTime);
+		clock.advanceTo(settleTimeout);
 		expect(verdicts).to.deep.equal([[['a'], false]]);
 		expect(probes()).to.equal(0);
 	});
 
-	it('is no crash of a target that takes connections', () => {
-		const {start, lose, verdicts} = createWatch({isListening: true});
+	it('is not a crash of a target that accepts connections', () => {
+		const {start, lose, verdicts} = createTestDetector({isListening: true});
 		start('a');
 		lose('a');
 		expect(verdicts).to.deep.equal([[['a'], false]]);
 	});
 
-	it('is judged by itself when it comes long after another', () => {
-		const {clock, start, lose, verdicts} = createWatch({isListening: true});
+	it('is evaluated separately when it comes long after another', () => {
+		const {clock, start, lose, verdicts} = createTestDetector({
+			isListening: true,
+		});
 		start('a', 'b', 'c', 'd', 'e');
 		lose('a');
 		clock.advanceTo(1000);
