--- a/packages/benchmark/src/memory-slopes.ts
+++ b/packages/benchmark/src/memory-slopes.ts
@@ -7,7 +7,7 @@
 import {createEgretspokePolicy} from '@egretspoke/decisions';
 import {createLedger} from '@egretspoke/ledger';
 import {createWebSocketTransport, type MessageChannel} from '@egretspoke/node';
-import {createDecisionMemory} from '@egretspoke/observability';
+import {createDecisionHistory} from '@egretspoke/observability';
 import {createRandom, createSystemClock} from '@egretspoke/shared';
 
 /** Bytes a piece, averaged over the number given. */
@@ -132,9 +132,9 @@
 }
 
 function fillMemory(): Measured {
-	const memory = createDecisionMemory({ordinary: decisions});
+	const memory = createDecisionHistory({ordinary: decisions});
 	for (let index = 0; index < decisions; index++) {
-		memory.remember({
+		memory.record({
 			request: `0b0e7a3c-52ac-4d55-9f0a-${String(index).padStart(12, '0')}`,
 			name: 'routed',
 			at: index,
--- a/packages/command/src/command-host.ts
+++ b/packages/command/src/command-host.ts
@@ -62,7 +62,7 @@
 }
 
 /** Creates the client that the options describe; a secret that can't be read is a usage error. */
-export function connect(
+export function createNodeClient(
 	{terminal}: CommandHost,
 	options: NodeOptions,
 	command: Command,
--- a/packages/command/src/confirm-command.ts
+++ b/packages/command/src/confirm-command.ts
@@ -11,7 +11,7 @@
 import {
 	addJsonOption,
 	addNodeOptions,
-	connect,
+	createNodeClient,
 	printJson,
 	readDurationArgument,
 	reportFault,
@@ -26,7 +26,7 @@
 type InForce = NodeStatus['inForce'];
 
 const defaultWait = 5000;
-const pollPeriod = 250;
+const pollInterval = 250;
 
 /** Adds the command. */
 export function addConfirmCommand(program: Command, host: CommandHost): void {
@@ -53,7 +53,7 @@
 	plan: string,
 	options: ConfirmOptions,
 ): Promise<void> {
-	const client = connect(host, options, command);
+	const client = createNodeClient(host, options, command);
 	const answer = await withProgress(
 		host,
 		'confirming',
@@ -78,14 +78,19 @@
 			? await withProgress(
 					host,
 					'waiting until it is in force everywhere',
-					watchInForce(host.clock, client, answer.value.version, options.wait),
+					waitUntilInForce(
+						host.clock,
+						client,
+						answer.value.version,
+						options.wait,
+					),
 				)
 			: [];
 	printAnswer(host, answer.value, inForce, options);
 }
 
 /** Asks until every node that is heard from has the version, or the wait is over. */
-async function watchInForce(
+async function waitUntilInForce(
 	clock: Clock,
 	client: AdminClient,
 	version: number,
@@ -101,14 +106,14 @@
 			schema: nodeStatusSchema,
 		});
 		const inForce = status.isOk() ? status.value.inForce : [];
-		const isEverywhere =
+		const isInForceEverywhere =
 			inForce.length > 0 && inForce.every((row) => row.version >= version);
-		if (isEverywhere || clock.now() >= end) {
+		if (isInForceEverywhere || clock.now() >= end) {
 			return inForce;
 		}
 
 		// eslint-disable-next-line no-await-in-loop -- the pause between two polls.
-		await sleep(clock, pollPeriod);
+		await sleep(clock, pollInterval);
 	}
 }
 
--- a/packages/command/src/demo-processes.ts
+++ b/packages/command/src/demo-processes.ts
@@ -39,9 +39,9 @@
 export type DemoCluster = {
 	nodes: DemoNode[];
 	/** Prints what happened. */
-	say(line: string): void;
+	print(line: string): void;
 	/** Runs the operator program and resolves with its exit code and output. */
-	operate(
+	runCommand(
 		admin: string,
 		parameters: string[],
 	): Promise<{code: number | undefined; output: string; errors: string}>;
@@ -74,7 +74,7 @@
 export async function startCluster(
 	standIns: StandIns,
 	machines: DemoMachine[],
-	say: (line: string) => void,
+	print: (line: string) => void,
 ): Promise<DemoCluster> {
 	const directory = await mkdtemp(path.join(tmpdir(), 'egretspoke-demo-'));
 	const children: Child[] = [];
@@ -126,7 +126,7 @@
 		);
 		const {caller, admin} = await child.waitFor(standIns.readStartedNode);
 		await target.ask(`announce ${caller}`);
-		say(`  ${node} serves ${service} in ${dataCentre}: callers ${caller}`);
+		print(`  ${node} serves ${service} in ${dataCentre}: callers ${caller}`);
 		return {...machine, caller, admin, process: child, target};
 	};
 
@@ -140,15 +140,15 @@
 	const platformAddress = await platform.waitFor((line) =>
 		standIns.readText(line, 'address'),
 	);
-	say(`  the platform's stand-in listens on ${platformAddress}`);
+	print(`  the platform's stand-in listens on ${platformAddress}`);
 	const nodes = await Promise.all(
 		machines.map(async (machine) => startMachine(machine, platformAddress)),
 	);
 	return {
 		nodes,
-		say,
+		print,
 		write,
-		async operate(admin, parameters) {
+		async runCommand(admin, parameters) {
 			const child = start(standIns.scriptBeside(import.meta.url, 'main.js'), [
 				...parameters,
 				'--node',
--- a/packages/command/src/demo.ts
+++ b/packages/command/src/demo.ts
@@ -57,7 +57,7 @@
 `;
 
 /** Milliseconds for the configuration to be in force everywhere, with room for a busy machine. */
-const inForceTime = 20_000;
+const inForceTimeout = 20_000;
 
 type DemoAnswer = {
 	status: number;
@@ -88,21 +88,21 @@
 		return 1;
 	}
 
-	const say = (line: string) => {
+	const print = (line: string) => {
 		const text = json ? JSON.stringify({step: line.trim()}) : line;
 		process.stdout.write(`${text}\n`);
 	};
 
 	try {
-		say('Starting: platform stand-in, 3 targets, 3 nodes, each a process.');
-		const cluster = await startCluster(standIns, machines, say);
-		await showSteps(cluster);
+		print('Starting: platform stand-in, 3 targets, 3 nodes, each a process.');
+		const cluster = await startCluster(standIns, machines, print);
+		await runSteps(cluster);
 		const unclean = await cluster.stop();
-		expectThat(
+		assertStep(
 			unclean <= 1,
 			'every node but the killed one drains and exits 0',
 		);
-		say('Done: every step did what it shows.');
+		print('Done: every step did what it shows.');
 		return 0;
 	} catch (error) {
 		const detail = error instanceof DemoFailure ? error.message : String(error);
@@ -111,49 +111,56 @@
 	}
 }
 
-async function showSteps(cluster: DemoCluster): Promise<void> {
+async function runSteps(cluster: DemoCluster): Promise<void> {
 	const entry = cluster.nodes[0]!;
 	await confirmIntents(cluster, entry);
 	await waitInForce(cluster, 1);
 
-	cluster.say('A client asks orders-and-payments, which asks loft-queues:');
-	const first = await ask(entry, 'GET', '/orders/17');
-	describe(cluster, first);
-	expectThat(first.status === 200, 'the request is served');
-	const ranAt = await showWay(cluster, first.request);
+	cluster.print('A client asks orders-and-payments, which asks loft-queues:');
+	const first = await sendRequest(entry, 'GET', '/orders/17');
+	printAnswer(cluster, first);
+	assertStep(first.status === 200, 'the request is served');
+	const ranAt = await printDecisions(cluster, first.request);
 
-	cluster.say(
+	cluster.print(
 		'A payment is not idempotent: it needs a key, its home and an expiry.',
 	);
 	const key = {'idempotency-key': 'twine-2041'};
-	const unhomed = await ask(entry, 'POST', '/payments', key);
-	describe(cluster, unhomed);
-	expectThat(unhomed.status === 428, 'a payment without a home is not run');
-	const homed = {
+	const withoutHome = await sendRequest(entry, 'POST', '/payments', key);
+	printAnswer(cluster, withoutHome);
+	assertStep(withoutHome.status === 428, 'a payment without a home is not run');
+	const withHome = {
 		...key,
-		'egretspoke-home': unhomed.home,
-		'egretspoke-key-expiry': unhomed.keyExpiry,
+		'egretspoke-home': withoutHome.home,
+		'egretspoke-key-expiry': withoutHome.keyExpiry,
 	};
-	const paid = await ask(entry, 'POST', '/payments', homed);
-	describe(cluster, paid);
-	expectThat(paid.status === 200, 'the payment is run');
-	const repeated = await ask(cluster.nodes[1]!, 'POST', '/payments', homed);
-	describe(cluster, repeated);
-	expectThat(
+	const paid = await sendRequest(entry, 'POST', '/payments', withHome);
+	printAnswer(cluster, paid);
+	assertStep(paid.status === 200, 'the payment is run');
+	const repeated = await sendRequest(
+		cluster.nodes[1]!,
+		'POST',
+		'/payments',
+		withHome,
+	);
+	printAnswer(cluster, repeated);
+	assertStep(
 		repeated.outcome === 'answered; repeated' && repeated.body === paid.body,
 		'the same payment sent to another node gets the recorded answer',
 	);
 
 	const chosen = cluster.nodes.find(({node}) => node === ranAt);
-	cluster.say(`Killing ${ranAt}, which served loft-queues, and asking again:`);
+	cluster.print(
+		`Killing ${ranAt}, which served loft-queues, and asking again:`,
+	);
 	await chosen?.process.kill();
-	const second = await ask(entry, 'GET', '/orders/18');
-	describe(cluster, second);
-	expectThat(
+	const second = await sendRequest(entry, 'GET', '/orders/18');
+	printAnswer(cluster, second);
+	assertStep(
 		second.status === 200 || second.outcome !== 'answered',
 		'the request is served or refused truthfully',
 	);
-	await showWay(cluster, second.request);
+	await printDecisions(cluster, second.request);
 }
 
 async function confirmIntents(
@@ -161,20 +168,24 @@
 	entry: DemoNode,
 ): Promise<void> {
 	const file = await cluster.write('intents.yaml', intents);
-	const planned = await cluster.operate(entry.admin, ['plan', file, '--json']);
-	expectThat(planned.code === 0, `plan: ${planned.output} ${planned.errors}`);
+	const planned = await cluster.runCommand(entry.admin, [
+		'plan',
+		file,
+		'--json',
+	]);
+	assertStep(planned.code === 0, `plan: ${planned.output} ${planned.errors}`);
 	const plan = planSchema.parse(JSON.parse(planned.output));
-	cluster.say(`Plan ${plan.id} against version ${plan.baseVersion}:`);
+	cluster.print(`Plan ${plan.id} against version ${plan.baseVersion}:`);
 	for (const {service, path, before, after} of plan.changes) {
-		cluster.say(`  ${service} ${path}: ${before ?? '-'} -> ${after ?? '-'}`);
+		cluster.print(`  ${service} ${path}: ${before ?? '-'} -> ${after ?? '-'}`);
 	}
 
-	const confirmed = await cluster.operate(entry.admin, ['confirm', plan.id]);
-	expectThat(
+	const confirmed = await cluster.runCommand(entry.admin, ['confirm', plan.id]);
+	assertStep(
 		confirmed.code === 0,
 		`confirm: ${confirmed.output} ${confirmed.errors}`,
 	);
-	cluster.say(`  ${confirmed.output.trim()}`);
+	cluster.print(`  ${confirmed.output.trim()}`);
 }
 
 async function waitInForce(
@@ -186,27 +197,27 @@
 		// eslint-disable-next-line no-await-in-loop -- polls until all agree.
 		const versions = await Promise.all(
 			cluster.nodes.map(async ({admin}) => {
-				const status = await cluster.operate(admin, ['status', '--json']);
-				expectThat(status.code === 0, `status: ${status.errors}`);
+				const status = await cluster.runCommand(admin, ['status', '--json']);
+				assertStep(status.code === 0, `status: ${status.errors}`);
 				return nodeStatusSchema.parse(JSON.parse(status.output)).configuration
 					.version;
 			}),
 		);
 		const elapsed = performance.now() - startedAt;
 		if (versions.every((each) => each >= version)) {
-			cluster.say(
+			cluster.print(
 				`Version ${version} is in force on all ${versions.length} nodes.`,
 			);
 			return;
 		}
 
-		expectThat(elapsed < inForceTime, 'the version is in force everywhere');
+		assertStep(elapsed < inForceTimeout, 'the version is in force everywhere');
 		// eslint-disable-next-line no-await-in-loop -- between two polls.
 		await wait(100);
 	}
 }
 
-async function ask(
+async function sendRequest(
 	{caller}: DemoNode,
 	method: 'GET' | 'POST',
 	path: string,
@@ -233,7 +244,10 @@
 }
 
 /** Prints every decision about a request, and gives the node where its last run was. */
-async function showWay(cluster: DemoCluster, request: string): Promise<string> {
+async function printDecisions(
+	cluster: DemoCluster,
+	request: string,
+): Promise<string> {
 	const explanations = await Promise.all(
 		cluster.nodes.map(async ({admin}) => explain(cluster, admin, request)),
 	);
@@ -246,7 +260,7 @@
 		)
 		.toSorted((left, right) => left.at.localeCompare(right.at));
 	for (const {at, node, event, name, reason} of decisions) {
-		cluster.say(`    ${at.slice(11)} ${node} ${event} ${name}: ${reason}`);
+		cluster.print(`    ${at.slice(11)} ${node} ${event} ${name}: ${reason}`);
 	}
 
 	const routed = decisions.findLast(({name}) => name === 'routed');
@@ -259,18 +273,18 @@
 	request: string,
 ): Promise<Explanation | undefined> {
 	const parameters = ['explain', request, '--json'];
-	const {code, output} = await cluster.operate(admin, parameters);
+	const {code, output} = await cluster.runCommand(admin, parameters);
 	return code === 0 ? explanationSchema.parse(JSON.parse(output)) : undefined;
 }
 
-function describe(
-	{say}: DemoCluster,
+function printAnswer(
+	{print}: DemoCluster,
 	{status, outcome, body}: DemoAnswer,
 ): void {
-	say(`  HTTP ${status}, ${outcome}: ${body}`);
+	print(`  HTTP ${status}, ${outcome}: ${body}`);
 }
 
-function expectThat(isTrue: boolean, what: string): void {
+function assertStep(isTrue: boolean, what: string): void {
 	if (!isTrue) {
 		throw new DemoFailure(`expected: ${what}`);
 	}
--- a/packages/command/src/explain-command.ts
+++ b/packages/command/src/explain-command.ts
@@ -1,5 +1,5 @@
 /** `egretspoke explain`: why was a request routed, queued or refused? */
-import {createLogStoryReader} from '@egretspoke/observability';
+import {createRequestTraceReader} from '@egretspoke/observability';
 import {explanationSchema, type Explanation} from '@egretspoke/protocol';
 import type {Command} from 'commander';
 import {
@@ -8,7 +8,11 @@
 	type CommandHost,
 	type NodeOptions,
 } from './command-host.js';
-import {readLogs, renderDetails, showStory} from './log-story-output.js';
+import {
+	readLogs,
+	renderDetails,
+	showRequestTrace,
+} from './request-trace-output.js';
 import {queryNode} from './node-query.js';
 import {renderTable, type Column} from './table.js';
 import type {Terminal} from './terminal.js';
@@ -33,13 +37,13 @@
 	addJsonOption(addNodeOptions(command)).action(
 		async (request: string, options: ExplainOptions) => {
 			if (options.logs) {
-				const reader = createLogStoryReader(request);
+				const reader = createRequestTraceReader(request);
 				const fault = await readLogs(reader, options.logs);
 				if (fault !== undefined) {
 					command.error(fault);
 				}
 
-				showStory(host, reader.finish(), options);
+				showRequestTrace(host, reader.finish(), options);
 				return;
 			}
 
--- a/packages/command/src/leave-command.ts
+++ b/packages/command/src/leave-command.ts
@@ -3,7 +3,7 @@
 import {z} from 'zod';
 import {
 	addNodeOptions,
-	connect,
+	createNodeClient,
 	reportFault,
 	type CommandHost,
 	type NodeOptions,
@@ -34,7 +34,7 @@
 	command: Command,
 	options: NodeOptions,
 ): Promise<void> {
-	const client = connect(host, options, command);
+	const client = createNodeClient(host, options, command);
 	const answer = await withProgress(
 		host,
 		'asking the node',
--- a/packages/command/src/node-query.ts
+++ b/packages/command/src/node-query.ts
@@ -2,7 +2,7 @@
 import type {Command} from 'commander';
 import type {z} from 'zod';
 import {
-	connect,
+	createNodeClient,
 	printJson,
 	reportFault,
 	type CommandHost,
@@ -29,7 +29,7 @@
 	options: NodeOptions,
 	query: NodeQuery<Schema, Shown>,
 ): Promise<void> {
-	const client = connect(host, options, command);
+	const client = createNodeClient(host, options, command);
 	const answer = await withProgress(
 		host,
 		'asking the node',
--- a/packages/command/src/plan-command.ts
+++ b/packages/command/src/plan-command.ts
@@ -11,7 +11,7 @@
 import {
 	addJsonOption,
 	addNodeOptions,
-	connect,
+	createNodeClient,
 	printJson,
 	refuseWithFindings,
 	reportFault,
@@ -53,7 +53,7 @@
 		return;
 	}
 
-	const client = connect(host, options, command);
+	const client = createNodeClient(host, options, command);
 	const {terminal} = host;
 	const author = options.author ?? terminal.environment.USER ?? 'unknown';
 	const answer = await withProgress(
--- a/packages/command/src/progress.ts
+++ b/packages/command/src/progress.ts
@@ -2,7 +2,7 @@
 import type {Clock, Timer} from '@egretspoke/shared';
 import type {Terminal} from './terminal.js';
 
-const second = 1000;
+const updateInterval = 1000;
 const eraseLine = '\r\u001B[2K';
 
 /**
@@ -24,10 +24,10 @@
 	const tick = () => {
 		seconds++;
 		terminal.writeError(`${eraseLine}${label} … ${seconds} s`);
-		timer = clock.setTimer(second, tick);
+		timer = clock.setTimer(updateInterval, tick);
 	};
 
-	timer = clock.setTimer(second, tick);
+	timer = clock.setTimer(updateInterval, tick);
 	try {
 		return await work;
 	} finally {
--- a/packages/command/src/log-story-output.ts
+++ b/packages/command/src/request-trace-output.ts
@@ -4,8 +4,8 @@
 import {createInterface} from 'node:readline';
 import type {
 	LogEntry,
-	LogStory,
-	LogStoryReader,
+	RequestTrace,
+	RequestTraceReader,
 } from '@egretspoke/observability';
 import {printJson, type CommandHost} from './command-host.js';
 import {exitCodes} from './exit-code.js';
@@ -14,7 +14,7 @@
 
 /** Reads the files one after the other; gives what can't be read. */
 export async function readLogs(
-	reader: LogStoryReader,
+	reader: RequestTraceReader,
 	files: readonly string[],
 ): Promise<string | undefined> {
 	for (const file of files) {
@@ -22,7 +22,7 @@
 		try {
 			// eslint-disable-next-line no-await-in-loop -- one file after the other.
 			for await (const line of createInterface({input})) {
-				reader.take(line);
+				reader.addLine(line);
 			}
 		} catch (error) {
 			const {code} = error as NodeJS.ErrnoException;
@@ -34,23 +34,28 @@
 }
 
 /** Prints the story; ends as refused when no line is about the request. */
-export function showStory(
+export function showRequestTrace(
 	{terminal, finish}: CommandHost,
-	story: LogStory,
+	requestTrace: RequestTrace,
 	{json}: {json?: boolean},
 ): void {
 	if (json) {
-		printJson(terminal, story);
+		printJson(terminal, requestTrace);
 	} else {
-		printStory(terminal, story);
+		printRequestTrace(terminal, requestTrace);
 	}
 
-	finish(story.decisions.length > 0 ? exitCodes.done : exitCodes.refused);
+	finish(
+		requestTrace.decisions.length > 0 ? exitCodes.done : exitCodes.refused,
+	);
 }
 
-function printStory(terminal: Terminal, story: LogStory): void {
-	const {request, decisions, repeats, beliefs} = story;
-	const {linesDropped, unreadable} = story;
+function printRequestTrace(
+	terminal: Terminal,
+	requestTrace: RequestTrace,
+): void {
+	const {request, decisions, repeats, beliefs} = requestTrace;
+	const {linesDropped, unreadable} = requestTrace;
 	if (decisions.length === 0) {
 		terminal.write(
 			`no line about request ${request}: its target answered it at the first try, or the log of its entry node is missing\n`,
--- a/packages/command/src/validate-command.ts
+++ b/packages/command/src/validate-command.ts
@@ -73,7 +73,7 @@
 		return;
 	}
 
-	const kind = options.kind ?? recogniseKind(text.value, file);
+	const kind = options.kind ?? detectKind(text.value, file);
 	const result = readers[kind].read(text.value, file);
 	if (result.isErr()) {
 		refuseWithFindings(host, result.error, options);
@@ -90,14 +90,14 @@
 }
 
 /** The kind that knows most of the keys at the top of the file, or of its list of intents. */
-function recogniseKind(text: string, file: string): Kind {
+function detectKind(text: string, file: string): Kind {
 	const map = z.record(z.string(), z.unknown());
 	const schema = z.union([map, z.array(map)]);
-	const written = readDocument({text, file, schema}).map((value) =>
+	const topLevelKeys = readDocument({text, file, schema}).map((value) =>
 		[value].flat().flatMap((each) => Object.keys(each)),
 	);
 	const countKnown = (kind: Kind) =>
-		written
+		topLevelKeys
 			.unwrapOr([])
 			.filter((key) => (readers[kind].keys as readonly string[]).includes(key))
 			.length;
--- a/packages/control/src/intent.ts
+++ b/packages/control/src/intent.ts
@@ -53,7 +53,7 @@
 const serviceIntentSchema = z.strictObject({
 	service: nameSchema,
 	/** Milliseconds that a first entry gives a request which states none. */
-	deadline: createDurationSchema({least: '10ms', most: '10m'}).optional(),
+	deadline: createDurationSchema({min: '10ms', max: '10m'}).optional(),
 	attempts: z.number().int().min(1).max(mostAttempts).optional(),
 	requests: z.array(requestIntentSchema).optional(),
 	calls: z.array(nameSchema).optional(),
--- a/packages/mesh/src/gatekeeper.ts
+++ b/packages/mesh/src/gatekeeper.ts
@@ -292,7 +292,7 @@
 			job.until - now >= leastTimeToRepeat &&
 			offers.take(now);
 		if (isAllowed) {
-			metrics.sentAgain(job.request.service);
+			metrics.retried(job.request.service);
 		}
 
 		return isAllowed;
--- a/packages/mesh/src/passage.ts
+++ b/packages/mesh/src/passage.ts
@@ -290,7 +290,7 @@
 			until - now >= leastTimeToRetry &&
 			takeFromBudget(now);
 		if (isAllowed) {
-			metrics.sentAgain(service);
+			metrics.retried(service);
 			reporter.decision('meshSentAgain', request.requestId, reason, {
 				from: node,
 				arrivals,
--- a/packages/node/__tests__/observing-reporter.spec.ts
+++ b/packages/node/__tests__/observing-reporter.spec.ts
@@ -1,5 +1,5 @@
 import {
-	createDecisionMemory,
+	createDecisionHistory,
 	createEventLog,
 	createMetrics,
 	type NodeReadings,
@@ -32,7 +32,7 @@
 		clock,
 		sink: {isReady: () => true, write: (batch) => written.push(batch)},
 	});
-	const memory = createDecisionMemory();
+	const memory = createDecisionHistory();
 	const metrics = createMetrics(() => readings);
 	const reporter = createObservingReporter({log, metrics, memory, clock});
 	return {log, memory, metrics, reporter, written};
--- a/packages/node/src/node-instruments.ts
+++ b/packages/node/src/node-instruments.ts
@@ -1,11 +1,11 @@
 /** The log, the metrics and the memory of decisions of one node, and the reporter over them. */
 import process from 'node:process';
 import {
-	createDecisionMemory,
+	createDecisionHistory,
 	createEventLog,
 	createMetrics,
 	createStreamSink,
-	type DecisionMemory,
+	type DecisionHistory,
 	type EventLog,
 	type Metrics,
 	type NodeReadings,
@@ -19,7 +19,7 @@
 export type NodeInstruments = {
 	log: EventLog;
 	metrics: Metrics;
-	memory: DecisionMemory;
+	memory: DecisionHistory;
 	reporter: NodeReporter;
 };
 
@@ -36,7 +36,7 @@
 		sink: createStreamSink(process.stdout),
 	});
 	const metrics = createMetrics(read);
-	const memory = createDecisionMemory();
+	const memory = createDecisionHistory();
 	const reporter = createObservingReporter({log, metrics, memory, clock});
 	return {log, metrics, memory, reporter};
 }
--- a/packages/node/src/observing-reporter.ts
+++ b/packages/node/src/observing-reporter.ts
@@ -1,6 +1,6 @@
 /** The reporter of a running node: log, metrics and decision memory behind one door. */
 import type {
-	DecisionMemory,
+	DecisionHistory,
 	EventLog,
 	ListenerName,
 	Metrics,
@@ -18,7 +18,7 @@
 export type ObservingReporterOptions = {
 	log: EventLog;
 	metrics: Metrics;
-	memory: DecisionMemory;
+	memory: DecisionHistory;
 	clock: Clock;
 };
 
@@ -74,7 +74,7 @@
 ): NodeReporter {
 	const {log, metrics, memory, clock} = options;
 	const decide = (decision: Decision) => {
-		memory.remember({...decision, at: clock.date().getTime()});
+		memory.record({...decision, at: clock.date().getTime()});
 		log.record(decision.name, decision);
 		decisionCounters[decision.name]?.(metrics, decision.service ?? '');
 	};
--- a/packages/node/src/settings.ts
+++ b/packages/node/src/settings.ts
@@ -35,7 +35,7 @@
 	);
 const secret = z.string().min(shortestSecret);
 const count = z.int().min(1);
-const duration = createDurationSchema({least: '1ms', most: '24h'});
+const duration = createDurationSchema({min: '1ms', max: '24h'});
 const webAddress = z.url({
 	protocol: /^https?$/u,
 	error: 'expected an http or https address, such as http://10.0.0.5:7500',
--- a/packages/observability/__tests__/decision-memory.spec.ts
+++ b/packages/observability/__tests__/decision-history.spec.ts
@@ -1,20 +1,20 @@
 import {expect} from 'chai';
-import {createDecisionMemory} from '../src/index.js';
+import {createDecisionHistory} from '../src/index.js';
 
-describe('decision memory', () => {
+describe('decision history', () => {
 	it('explains a request, the oldest decision first', () => {
-		const memory = createDecisionMemory();
-		memory.remember({
+		const history = createDecisionHistory();
+		history.record({
 			request: 'r1',
 			name: 'routed',
 			at: 5,
 			reason: 'fewest in flight',
 			details: {node: 'b'},
 		});
-		memory.remember({request: 'r2', name: 'routed', at: 5, reason: 'x'});
-		memory.remember({request: 'r1', name: 'retried', at: 5, reason: 'y'});
-		memory.remember({request: 'r1', name: 'routed', at: 5, reason: 'z'});
-		expect(memory.explain('r1')).to.deep.equal([
+		history.record({request: 'r2', name: 'routed', at: 5, reason: 'x'});
+		history.record({request: 'r1', name: 'retried', at: 5, reason: 'y'});
+		history.record({request: 'r1', name: 'routed', at: 5, reason: 'z'});
+		expect(history.explain('r1')).to.deep.equal([
 			{
 				at: '1970-01-01T00:00:00.005Z',
 				event: 1101,
@@ -43,30 +43,30 @@
 		// A boat owner asks a minute later why the order was refused. On a busy
 		// node thousands of ordinary decisions came since; in one common ring
 		// the answer would be "not known here".
-		const memory = createDecisionMemory({ordinary: 10, notable: 10});
-		memory.remember({
+		const history = createDecisionHistory({ordinary: 10, notable: 10});
+		history.record({
 			request: 'refused',
 			name: 'admissionRefused',
 			at: 0,
 			reason: 'over its share',
 		});
 		for (let at = 1; at <= 100; at++) {
-			memory.remember({request: `r${at}`, name: 'routed', at, reason: 'x'});
+			history.record({request: `r${at}`, name: 'routed', at, reason: 'x'});
 		}
 
-		expect(memory.explain('refused')).to.have.length(1);
-		expect(memory.explain('r90')).to.have.length(0);
-		expect(memory.explain('r91')).to.have.length(1);
+		expect(history.explain('refused')).to.have.length(1);
+		expect(history.explain('r90')).to.have.length(0);
+		expect(history.explain('r91')).to.have.length(1);
 	});
 
 	it('cuts a long reason', () => {
-		const memory = createDecisionMemory();
-		memory.remember({
+		const history = createDecisionHistory();
+		history.record({
 			request: 'r',
 			name: 'routed',
 			at: 0,
 			reason: 'x'.repeat(10_000),
 		});
-		expect(memory.explain('r')[0]?.reason).to.have.length(300);
+		expect(history.explain('r')[0]?.reason).to.have.length(300);
 	});
 });
--- a/packages/observability/__tests__/event-log.spec.ts
+++ b/packages/observability/__tests__/event-log.spec.ts
@@ -53,7 +53,7 @@
 
 	it('keeps back what is below the level', () => {
 		const {log, lines} = startLog({level: 'warn'});
-		expect(log.isWanted('routed', 'r1')).to.equal(false);
+		expect(log.isEnabled('routed', 'r1')).to.equal(false);
 		log.record('routed', {request: 'r1', reason: 'x'});
 		log.record('peerLost', {details: {peer: 'orders-2'}});
 		log.flush();
--- a/packages/observability/__tests__/log-story.spec.ts
+++ b/packages/observability/__tests__/request-trace.spec.ts
@@ -1,5 +1,5 @@
 import {expect} from 'chai';
-import {createLogStoryReader} from '../src/index.js';
+import {createRequestTraceReader} from '../src/index.js';
 
 const line = (changed: Record<string, unknown>) =>
 	JSON.stringify({
@@ -13,24 +13,24 @@
 		...changed,
 	});
 
-const tell = (lines: string[]) => {
-	const reader = createLogStoryReader('abc');
+const readTrace = (lines: string[]) => {
+	const reader = createRequestTraceReader('abc');
 	for (const each of lines) {
-		reader.take(each);
+		reader.addLine(each);
 	}
 
 	return reader.finish();
 };
 
-describe('the story of a request', () => {
+describe('the trace of a request', () => {
 	it('joins the lines of all nodes in order of time, its calls included', () => {
-		const story = tell([
+		const trace = readTrace([
 			line({at: '2026-01-01T00:00:11.000Z', node: 'orders-2'}),
 			line({request: 'abcdef'}),
 			line({request: 'abc.d', node: 'history-1'}),
 			`orders-3 10.02 ${line({at: '2026-01-01T00:00:09.500Z', node: 'orders-3'})}`,
 		]);
-		expect(story.decisions.map(({node}) => node)).to.deep.equal([
+		expect(trace.decisions.map(({node}) => node)).to.deep.equal([
 			'orders-3',
 			'history-1',
 			'orders-2',
@@ -39,32 +39,32 @@
 
 	it('adds what the deciding nodes had come to believe just before', () => {
 		const notice = {event: 2103, name: 'peerLost', request: undefined};
-		const story = tell([
+		const trace = readTrace([
 			line({}),
 			line({...notice, at: '2026-01-01T00:00:08.000Z', message: 'lost a'}),
 			line({...notice, at: '2026-01-01T00:00:02.000Z', message: 'long ago'}),
 			line({...notice, node: 'media-1', message: 'elsewhere'}),
 		]);
-		expect(story.beliefs.map(({message}) => message)).to.deep.equal(['lost a']);
+		expect(trace.beliefs.map(({message}) => message)).to.deep.equal(['lost a']);
 	});
 
 	it('adds the decisions on the same request under other ids', () => {
 		const under = (identity: string, request: string, at: string) =>
 			line({event: 1607, request, at, details: {identity}});
-		const story = tell([
+		const trace = readTrace([
 			under('same', 'abc', '2026-01-01T00:00:11.000Z'),
 			under('same', 'second', '2026-01-01T00:00:10.500Z'),
 			under('same', 'first', '2026-01-01T00:00:09.000Z'),
 			under('another', 'third', '2026-01-01T00:00:09.000Z'),
 		]);
-		expect(story.repeats.map(({request}) => request)).to.deep.equal([
+		expect(trace.repeats.map(({request}) => request)).to.deep.equal([
 			'first',
 			'second',
 		]);
 	});
 
 	it('says how many lines are missing or can not be read', () => {
-		const story = tell([
+		const trace = readTrace([
 			line({}),
 			'not a line of ours',
 			'{"at":1}',
@@ -76,7 +76,7 @@
 				details: {count: 7},
 			}),
 		]);
-		expect(story.linesDropped).to.equal(7);
-		expect(story.unreadable).to.equal(2);
+		expect(trace.linesDropped).to.equal(7);
+		expect(trace.unreadable).to.equal(2);
 	});
 });
--- a/packages/observability/src/decision-memory.ts
+++ b/packages/observability/src/decision-history.ts
@@ -10,7 +10,7 @@
 import type {EventDefinition} from './event-definition.js';
 
 /** One decision as it is remembered. */
-export type RememberedDecision = {
+export type RecordedDecision = {
 	request: string;
 	name: DecisionEventName;
 	/** Milliseconds since 1970. */
@@ -20,7 +20,7 @@
 };
 
 /** How many decisions are remembered. */
-export type DecisionMemoryOptions = {
+export type DecisionHistoryOptions = {
 	/** Ordinary decisions. */
 	ordinary?: number;
 	/** Refusals, retries and answers from the ledger. */
@@ -28,9 +28,9 @@
 };
 
 /** The memory. */
-export type DecisionMemory = {
+export type DecisionHistory = {
 	/** Remembers a decision; forgets the oldest of its kind when full. */
-	remember(decision: RememberedDecision): void;
+	record(decision: RecordedDecision): void;
 	/** What is still remembered of a request, the oldest first. */
 	explain(request: string): Explanation['decisions'];
 };
@@ -38,17 +38,17 @@
 const defaultOrdinary = 4096;
 const defaultNotable = 4096;
 /** The longest reason that is kept, so that the memory is bounded in bytes. */
-const longestReason = 300;
+const maxReasonLength = 300;
 
 /** Creates an empty memory. */
-export function createDecisionMemory(
-	options: DecisionMemoryOptions = {},
-): DecisionMemory {
+export function createDecisionHistory(
+	options: DecisionHistoryOptions = {},
+): DecisionHistory {
 	const ordinary = createRing(options.ordinary ?? defaultOrdinary);
 	const notable = createRing(options.notable ?? defaultNotable);
 	let order = 0;
 	return {
-		remember(decision) {
+		record(decision) {
 			const ring = isNotable(decision.name) ? notable : ordinary;
 			const {request, name, at, reason, details} = decision;
 			ring.add({
@@ -56,15 +56,15 @@
 				name,
 				at,
 				reason:
-					reason.length > longestReason
-						? reason.slice(0, longestReason)
+					reason.length > maxReasonLength
+						? reason.slice(0, maxReasonLength)
 						: reason,
 				...(details && {details}),
 				order: order++,
 			});
 		},
 		explain: (request) =>
-			[...ordinary.recall(request), ...notable.recall(request)]
+			[...ordinary.findByRequest(request), ...notable.findByRequest(request)]
 				.sort((left, right) => left.order - right.order)
 				.map(({name, at, reason, details}) => ({
 					at: new Date(at).toISOString(),
@@ -81,7 +81,7 @@
 	return definition.isNotable ?? false;
 }
 
-type RingEntry = RememberedDecision & {order: number};
+type RingEntry = RecordedDecision & {order: number};
 
 function createRing(capacity: number) {
 	const entries: RingEntry[] = [];
@@ -91,7 +91,7 @@
 			entries[next] = decision;
 			next = (next + 1) % capacity;
 		},
-		recall: (request: string) =>
+		findByRequest: (request: string) =>
 			[...entries.slice(next), ...entries.slice(0, next)].filter(
 				(entry) => entry.request === request,
 			),
--- a/packages/observability/src/event-log.ts
+++ b/packages/observability/src/event-log.ts
@@ -42,7 +42,7 @@
 	/** Records an event; never blocks and never throws. */
 	record(name: EventName, fields?: EventFields): void;
 	/** Whether `record` would keep it; spares building details for nothing. */
-	isWanted(name: EventName, request?: string): boolean;
+	isEnabled(name: EventName, request?: string): boolean;
 	/** Writes what waits, as far as the sink takes it. */
 	flush(): void;
 	/** Lines dropped so far because the buffer was full. */
@@ -55,7 +55,7 @@
 /** The part of the buffer that decisions leave free for notices. */
 const noticeReserve = 0.1;
 
-let loggersMade = 0;
+let loggerCount = 0;
 
 /** Creates a log of its own; several can live in one process. */
 export function createEventLog(options: EventLogOptions): EventLog {
@@ -63,7 +63,7 @@
 	const capacity = options.capacity ?? defaultCapacity;
 	const decisionCapacity = Math.floor(capacity * (1 - noticeReserve));
 	const batch = options.batch ?? defaultBatch;
-	const wanted = listWanted(options.level);
+	const enabledEvents = listEnabledEvents(options.level);
 	const isSampled = createRequestSample(options.sample);
 	const format = lineFormatters[options.format];
 	const lines: string[] = [];
@@ -71,10 +71,10 @@
 	let waiting: RecordedEvent[] = [];
 	let isScheduled = false;
 	let dropped = 0;
-	let reported = 0;
+	let reportedDrops = 0;
 
-	const isWanted = (name: EventName, request?: string): boolean =>
-		wanted.has(name) &&
+	const isEnabled = (name: EventName, request?: string): boolean =>
+		enabledEvents.has(name) &&
 		(request === undefined ||
 			events[name].kind === 'notice' ||
 			isSampled(request));
@@ -97,18 +97,18 @@
 			return;
 		}
 
-		const taken = waiting.slice(0, batch);
+		const eventsToWrite = waiting.slice(0, batch);
 		waiting = waiting.slice(batch);
-		if (dropped > reported) {
-			taken.push({
+		if (dropped > reportedDrops) {
+			eventsToWrite.push({
 				name: 'linesDropped',
 				at: clock.date().getTime(),
-				details: {count: dropped - reported},
+				details: {count: dropped - reportedDrops},
 			});
-			reported = dropped;
+			reportedDrops = dropped;
 		}
 
-		for (const event of taken) {
+		for (const event of eventsToWrite) {
 			logger[events[event.name].level](format(event, node));
 		}
 
@@ -120,7 +120,7 @@
 
 	return {
 		record(name, fields) {
-			if (!isWanted(name, fields?.request)) {
+			if (!isEnabled(name, fields?.request)) {
 				return;
 			}
 
@@ -134,7 +134,7 @@
 
 			schedule();
 		},
-		isWanted,
+		isEnabled,
 		flush() {
 			while (waiting.length > 0 && sink.isReady()) {
 				writeBatch();
@@ -145,12 +145,14 @@
 }
 
 /** The events that a level lets through, worked out once. */
-function listWanted(level: EventLogOptions['level']): Set<EventName> {
-	const least =
+function listEnabledEvents(level: EventLogOptions['level']): Set<EventName> {
+	const minLevel =
 		level === 'silent' ? logLevels.length : logLevels.indexOf(level);
 	return new Set(
 		(Object.entries(events) as Array<[EventName, EventDefinition]>)
-			.filter(([, definition]) => logLevels.indexOf(definition.level) >= least)
+			.filter(
+				([, definition]) => logLevels.indexOf(definition.level) >= minLevel,
+			)
 			.map(([name]) => name),
 	);
 }
@@ -160,7 +162,7 @@
 	level: EventLogOptions['level'],
 	lines: string[],
 ): loglevel.Logger {
-	const logger = loglevel.getLogger(`egretspoke-${loggersMade++}`);
+	const logger = loglevel.getLogger(`egretspoke-${loggerCount++}`);
 	logger.methodFactory = () => (line: string) => {
 		lines.push(`${line}\n`);
 	};
--- a/packages/observability/src/index.ts
+++ b/packages/observability/src/index.ts
@@ -1,11 +1,11 @@
 export * from './catalogue-pages.js';
-export * from './decision-memory.js';
+export * from './decision-history.js';
 export * from './event-catalogue.js';
 export * from './event-definition.js';
 export * from './event-log.js';
 export * from './log-line.js';
 export * from './log-sink.js';
-export * from './log-story.js';
+export * from './request-trace.js';
 export * from './mesh-metrics.js';
 export * from './metric-catalogue.js';
 export type * from './metric-definition.js';
--- a/packages/observability/src/log-cost.ts
+++ b/packages/observability/src/log-cost.ts
@@ -5,7 +5,7 @@
  */
 import process from 'node:process';
 import {createSystemClock} from '@egretspoke/shared';
-import {createDecisionMemory} from './decision-memory.js';
+import {createDecisionHistory} from './decision-history.js';
 import {createEventLog, type EventLogOptions} from './event-log.js';
 import {createMetrics} from './metrics.js';
 
@@ -22,7 +22,7 @@
 	jsonAll: measureLog({format: 'json', sample: 1}),
 	jsonOnePercent: measureLog({format: 'json', sample: 0.01}),
 	belowLevel: measureLog({format: 'json', sample: 1, level: 'warn'}),
-	memory: measureMemory(),
+	memory: measureHistory(),
 	requestEnded: measureMetrics(),
 };
 
@@ -67,13 +67,13 @@
 	return {onPath: perCall(onPath), offPath: perCall(offPath)};
 }
 
-function measureMemory(): Cost {
-	const memory = createDecisionMemory();
+function measureHistory(): Cost {
+	const history = createDecisionHistory();
 	let onPath = 0;
 	measure((round) => {
 		onPath += time(() => {
 			for (let index = 0; index < perRound; index++) {
-				memory.remember({
+				history.record({
 					request: `request-${round}-${index}`,
 					name: 'routed',
 					at: round,
@@ -107,9 +107,9 @@
 	return {onPath: perCall(onPath)};
 }
 
-function measure(play: (round: number) => void): void {
+function measure(run: (round: number) => void): void {
 	for (let round = 0; round < rounds; round++) {
-		play(round);
+		run(round);
 	}
 }
 
--- a/packages/observability/src/mesh-metric-catalogue.ts
+++ b/packages/observability/src/mesh-metric-catalogue.ts
@@ -55,7 +55,7 @@
 		help: 'Nodes that this one knows, itself included.',
 		reading: 'Nodes that are gone for good stay until their rows are removed.',
 	},
-	meshStoreLost: {
+	meshStoreFailures: {
 		name: 'egretspoke_mesh_store_failures_total',
 		type: 'counter',
 		labels: ['call'],
--- a/packages/observability/src/mesh-metrics.ts
+++ b/packages/observability/src/mesh-metrics.ts
@@ -4,7 +4,7 @@
 	createCounter,
 	createGauge,
 	createHistogram,
-	createLabelBound,
+	createLabelLimiter,
 	createProcessGauges,
 	createTargetGauges,
 	secondsPerMillisecond,
@@ -41,7 +41,7 @@
 	/** Milliseconds that the target was given a request after its arrival here, and that it then took. */
 	targetStarted(queued: number): void;
 	targetEnded(duration: number): void;
-	sentAgain(service: string): void;
+	retried(service: string): void;
 	targetCrashed(): void;
 	requestQuarantined(): void;
 	storeFailed(call: string): void;
@@ -63,16 +63,16 @@
 	const retries = createCounter(registry, 'retries');
 	const crashes = createCounter(registry, 'targetCrashes');
 	const quarantined = createCounter(registry, 'quarantined');
-	const storeFailures = createCounter(registry, 'meshStoreLost');
+	const storeFailures = createCounter(registry, 'meshStoreFailures');
 	const update = createReadingGauges(registry);
-	const boundRoute = createLabelBound();
-	const boundService = createLabelBound();
+	const limitRoute = createLabelLimiter();
+	const limitService = createLabelLimiter();
 
 	return {
 		requestEnded({route, outcome, reason, duration: time}) {
-			const bounded = boundRoute(route);
-			requests.inc({route: bounded, outcome, reason});
-			duration.observe({route: bounded}, time * secondsPerMillisecond);
+			const routeLabel = limitRoute(route);
+			requests.inc({route: routeLabel, outcome, reason});
+			duration.observe({route: routeLabel}, time * secondsPerMillisecond);
 		},
 		attemptEnded(outcome) {
 			attempts.inc({outcome});
@@ -83,8 +83,8 @@
 		targetEnded(time) {
 			targetDuration.observe(time * secondsPerMillisecond);
 		},
-		sentAgain(service) {
-			retries.inc({service: boundService(service)});
+		retried(service) {
+			retries.inc({service: limitService(service)});
 		},
 		targetCrashed() {
 			crashes.inc();
--- a/packages/observability/src/metric-instruments.ts
+++ b/packages/observability/src/metric-instruments.ts
@@ -12,7 +12,7 @@
  * what ends up in a label would grow the registry until the node runs out of
  * memory; one would notice pages of series that each count 1.
  */
-const labelValueLimit = 100;
+const maxLabelValues = 100;
 const otherValue = 'other';
 
 /** A counter of the table. */
@@ -35,12 +35,12 @@
 }
 
 /** A counter whose total is kept elsewhere. */
-function createOutsideCounter(registry: Registry, key: MetricKey) {
+function createExternalCounter(registry: Registry, key: MetricKey) {
 	const counter = createCounter(registry, key);
-	let last = 0;
+	let lastTotal = 0;
 	return (total: number) => {
-		counter.inc(Math.max(0, total - last));
-		last = total;
+		counter.inc(Math.max(0, total - lastTotal));
+		lastTotal = total;
 	};
 }
 
@@ -50,14 +50,14 @@
 }
 
 /** Lets the first values of a label through and names the rest alike. */
-export function createLabelBound(): (value: string) => string {
+export function createLabelLimiter(): (value: string) => string {
 	const known = new Set<string>();
 	return (value) => {
 		if (known.has(value)) {
 			return value;
 		}
 
-		if (known.size >= labelValueLimit) {
+		if (known.size >= maxLabelValues) {
 			return otherValue;
 		}
 
@@ -88,8 +88,8 @@
 	const openRequests = createGauge(registry, 'openRequests');
 	const peersConnected = createGauge(registry, 'peersConnected');
 	const residentMemory = createGauge(registry, 'residentMemory');
-	const setDropped = createOutsideCounter(registry, 'logLinesDropped');
-	const setProcessorTime = createOutsideCounter(registry, 'processorTime');
+	const setDropped = createExternalCounter(registry, 'logLinesDropped');
+	const setProcessorTime = createExternalCounter(registry, 'processorTime');
 
 	return (readings) => {
 		configurationVersion.set(readings.configurationVersion);
--- a/packages/observability/src/metrics.ts
+++ b/packages/observability/src/metrics.ts
@@ -6,7 +6,7 @@
 	createCounter,
 	createGauge,
 	createHistogram,
-	createLabelBound,
+	createLabelLimiter,
 	createProcessGauges,
 	createTargetGauges,
 	secondsPerMillisecond,
@@ -82,46 +82,46 @@
 	const crashes = createCounter(registry, 'targetCrashes');
 	const quarantined = createCounter(registry, 'quarantined');
 	const update = createReadingGauges(registry);
-	const boundService = createLabelBound();
-	const boundKind = createLabelBound();
-	const boundChild = createLabelBound();
+	const limitService = createLabelLimiter();
+	const limitKind = createLabelLimiter();
+	const limitChild = createLabelLimiter();
 
 	return {
 		registry,
 		requestEnded({role, service, requestClass, outcome, error, ...rest}) {
-			const bounded = boundService(service);
+			const serviceLabel = limitService(service);
 			requests.inc({
 				role,
-				service: bounded,
+				service: serviceLabel,
 				class: requestClass,
 				outcome: outcomeLabels[outcome],
 				error: error ?? '',
 			});
 			duration.observe(
-				{role, service: bounded},
+				{role, service: serviceLabel},
 				rest.duration * secondsPerMillisecond,
 			);
 		},
 		waited(service, delay) {
 			queueTime.observe(
-				{service: boundService(service)},
+				{service: limitService(service)},
 				delay * secondsPerMillisecond,
 			);
 		},
 		retried(service) {
-			retries.inc({service: boundService(service)});
+			retries.inc({service: limitService(service)});
 		},
 		retryRefused(service) {
-			retriesRefused.inc({service: boundService(service)});
+			retriesRefused.inc({service: limitService(service)});
 		},
 		malformedInput(listener, kind) {
-			malformedInput.inc({listener, kind: boundKind(kind)});
+			malformedInput.inc({listener, kind: limitKind(kind)});
 		},
 		lateAnswer() {
 			lateAnswers.inc();
 		},
 		childRestarted(child) {
-			childRestarts.inc({child: boundChild(child)});
+			childRestarts.inc({child: limitChild(child)});
 		},
 		suspended() {
 			suspensions.inc();
--- a/packages/observability/src/log-story.ts
+++ b/packages/observability/src/request-trace.ts
@@ -23,7 +23,7 @@
 export type LogEntry = z.output<typeof logEntrySchema>;
 
 /** What the lines tell. */
-export type LogStory = {
+export type RequestTrace = {
 	request: string;
 	/** Decisions on the request and on the calls made for it, in order of time. */
 	decisions: LogEntry[];
@@ -38,26 +38,26 @@
 };
 
 /** Takes the lines of any nodes in any order. */
-export type LogStoryReader = {
-	take(line: string): void;
-	finish(): LogStory;
+export type RequestTraceReader = {
+	addLine(line: string): void;
+	finish(): RequestTrace;
 };
 
 /** Events from this number on are about a node and not about a request. */
-const firstNotice = 2000;
+const firstNoticeEvent = 2000;
 /** Milliseconds before the first decision in which a change of belief may have led to it: the longest time-out of a link or target is shorter. */
-const beliefTime = 3000;
+const noticeWindow = 3000;
 const linesDroppedEvent = 'linesDropped';
 
 /** Creates a reader for the request with that id. */
-export function createLogStoryReader(request: string): LogStoryReader {
+export function createRequestTraceReader(request: string): RequestTraceReader {
 	const decisions: LogEntry[] = [];
 	const identified: LogEntry[] = [];
 	const notices: LogEntry[] = [];
 	let unreadable = 0;
 
 	return {
-		take(line) {
+		addLine(line) {
 			if (line.trim() === '') {
 				return;
 			}
@@ -65,26 +65,26 @@
 			const entry = parseEntry(line);
 			if (!entry) {
 				unreadable++;
-			} else if (entry.event >= firstNotice) {
+			} else if (entry.event >= firstNoticeEvent) {
 				notices.push(entry);
-			} else if (isAbout(entry, request)) {
+			} else if (concernsRequest(entry, request)) {
 				decisions.push(entry);
-			} else if (identityOf(entry) !== undefined) {
+			} else if (getIdentity(entry) !== undefined) {
 				identified.push(entry);
 			}
 		},
 		finish() {
-			decisions.sort(byTime);
-			const identities = new Set(decisions.map((entry) => identityOf(entry)));
+			decisions.sort(compareTime);
+			const identities = new Set(decisions.map((entry) => getIdentity(entry)));
 			const nodes = new Set(decisions.map(({node}) => node));
 			const concerned = notices.filter(({node}) => nodes.has(node));
 			return {
 				request,
 				decisions,
 				repeats: identified
-					.filter((entry) => identities.has(identityOf(entry)))
-					.sort(byTime),
-				beliefs: listBeliefs(concerned, decisions),
+					.filter((entry) => identities.has(getIdentity(entry)))
+					.sort(compareTime),
+				beliefs: listPrecedingNotices(concerned, decisions),
 				linesDropped: sumDropped(concerned),
 				unreadable,
 			};
@@ -108,7 +108,7 @@
 }
 
 /** Where targets make the id of a call from that of its request, the call's begins with it and a dot. */
-function isAbout(entry: LogEntry, request: string): boolean {
+function concernsRequest(entry: LogEntry, request: string): boolean {
 	return (
 		entry.request === request ||
 		(entry.request?.startsWith(`${request}.`) ?? false)
@@ -116,25 +116,28 @@
 }
 
 /** What repeats of a request under other ids share, where a line tells it. */
-function identityOf({details}: LogEntry): string | undefined {
+function getIdentity({details}: LogEntry): string | undefined {
 	return details?.identity === undefined ? undefined : String(details.identity);
 }
 
-function listBeliefs(notices: LogEntry[], decisions: LogEntry[]): LogEntry[] {
+function listPrecedingNotices(
+	notices: LogEntry[],
+	decisions: LogEntry[],
+): LogEntry[] {
 	const [first] = decisions;
 	const last = decisions.at(-1);
 	if (!first || !last) {
 		return [];
 	}
 
-	const from = Date.parse(first.at) - beliefTime;
+	const from = Date.parse(first.at) - noticeWindow;
 	const to = Date.parse(last.at);
 	return notices
 		.filter(({name, at}) => {
 			const time = Date.parse(at);
 			return name !== linesDroppedEvent && time >= from && time <= to;
 		})
-		.sort(byTime);
+		.sort(compareTime);
 }
 
 function sumDropped(notices: LogEntry[]): number {
@@ -146,6 +149,6 @@
 	return sum;
 }
 
-function byTime(left: LogEntry, right: LogEntry): number {
+function compareTime(left: LogEntry, right: LogEntry): number {
 	return Date.parse(left.at) - Date.parse(right.at);
 }
--- a/packages/shared/src/document-issue.ts
+++ b/packages/shared/src/document-issue.ts
@@ -22,7 +22,7 @@
 	schema: z.core.$ZodType,
 ) => DocumentIssue[];
 
-const longestQuote = 60;
+const maxQuoteLength = 60;
 
 /* eslint-disable @typescript-eslint/naming-convention -- the keys are zod's issue codes. */
 const explainers: {[Code in Issue['code']]: Explain<Code>} = {
@@ -46,14 +46,14 @@
 		{
 			path,
 			message: `${quote(written)} is too small`,
-			advice: `expected at least ${minimum}${measures[origin] ?? ''}`,
+			advice: `expected at least ${minimum}${unitSuffixes[origin] ?? ''}`,
 		},
 	],
 	too_big: ({path, maximum, origin}, written) => [
 		{
 			path,
 			message: `${quote(written)} is too large`,
-			advice: `expected at most ${maximum}${measures[origin] ?? ''}`,
+			advice: `expected at most ${maximum}${unitSuffixes[origin] ?? ''}`,
 		},
 	],
 	invalid_format: ({path, message, format}, written) => [
@@ -119,7 +119,7 @@
 	boolean: 'true or false',
 };
 
-const measures: Record<string, string> = {
+const unitSuffixes: Record<string, string> = {
 	string: ' characters',
 	array: ' entries',
 };
@@ -170,5 +170,7 @@
 
 function quote(written: unknown): string {
 	const text = JSON.stringify(written) ?? '';
-	return text.length > longestQuote ? `${text.slice(0, longestQuote)}…` : text;
+	return text.length > maxQuoteLength
+		? `${text.slice(0, maxQuoteLength)}…`
+		: text;
 }
--- a/packages/shared/src/duration.ts
+++ b/packages/shared/src/duration.ts
@@ -26,13 +26,13 @@
 
 /** A duration within bounds, both given as text and both allowed. */
 export function createDurationSchema(
-	bounds: {least?: string; most?: string} = {},
+	bounds: {min?: string; max?: string} = {},
 ) {
-	const least = parseDuration(bounds.least ?? '0ms') ?? 0;
-	const most = parseDuration(bounds.most ?? '') ?? Number.POSITIVE_INFINITY;
+	const min = parseDuration(bounds.min ?? '0ms') ?? 0;
+	const max = parseDuration(bounds.max ?? '') ?? Number.POSITIVE_INFINITY;
 	return z.unknown().transform((value, context) => {
 		const parsed = typeof value === 'string' ? parseDuration(value) : undefined;
-		if (parsed !== undefined && parsed >= least && parsed <= most) {
+		if (parsed !== undefined && parsed >= min && parsed <= max) {
 			return parsed;
 		}
 
@@ -59,8 +59,8 @@
 		: `${JSON.stringify(value)} is not a duration`;
 }
 
-function describeExpected(bounds: {least?: string; most?: string}): string {
-	const least = bounds.least ? `, at least ${bounds.least}` : '';
-	const most = bounds.most ? `, at most ${bounds.most}` : '';
-	return `${expected}${least}${most}`;
+function describeExpected(bounds: {min?: string; max?: string}): string {
+	const min = bounds.min ? `, at least ${bounds.min}` : '';
+	const max = bounds.max ? `, at most ${bounds.max}` : '';
+	return `${expected}${min}${max}`;
 }
--- a/packages/shared/src/known-keys.ts
+++ b/packages/shared/src/known-keys.ts
@@ -5,8 +5,8 @@
 type Schema = z.core.$ZodTypes;
 type Definition = Schema['_zod']['def'];
 type Kind = Definition['type'];
-type Handlers<Answer> = {
-	[Each in Kind]?: (definition: Extract<Definition, {type: Each}>) => Answer;
+type Handlers<Output> = {
+	[Each in Kind]?: (definition: Extract<Definition, {type: Each}>) => Output;
 };
 
 /** The keys that any branch of the schema knows at the path. */
@@ -56,11 +56,11 @@
 	return child ? unwrap(child) : [];
 }
 
-function handle<Answer>(
-	handlers: Handlers<Answer>,
+function handle<Output>(
+	handlers: Handlers<Output>,
 	definition: Definition,
-): Answer | undefined {
+): Output | undefined {
 	const handler = handlers[definition.type] as
-		((definition: Definition) => Answer) | undefined;
+		((definition: Definition) => Output) | undefined;
 	return handler?.(definition);
 }
--- a/packages/shared/src/listening-probe.ts
+++ b/packages/shared/src/listening-probe.ts
@@ -2,7 +2,7 @@
 import {connect} from 'node:net';
 
 /** Milliseconds for a connection to the same machine. */
-const connectTime = 200;
+const connectTimeout = 200;
 
 /** Only a refused connection says that nobody listens; without an answer it is not known, which counts as listening. */
 export function probeListening(
@@ -13,7 +13,7 @@
 	const socket = connect({
 		host: address.slice(0, separator),
 		port: Number(address.slice(separator + 1)),
-		timeout: connectTime,
+		timeout: connectTimeout,
 	});
 	const finish = (isListening: boolean) => {
 		socket.removeAllListeners();
--- a/packages/shared/src/nearest-key.ts
+++ b/packages/shared/src/nearest-key.ts
@@ -9,11 +9,11 @@
 	known: readonly string[],
 ): string | undefined {
 	let nearest: string | undefined;
-	let smallest = Math.max(2, Math.floor(written.length / 2)) + 1;
+	let minDistance = Math.max(2, Math.floor(written.length / 2)) + 1;
 	for (const key of known) {
 		const distance = measureDistance(written.toLowerCase(), key.toLowerCase());
-		if (distance < smallest) {
-			smallest = distance;
+		if (distance < minDistance) {
+			minDistance = distance;
 			nearest = key;
 		}
 	}
--- a/packages/shared/src/stream.ts
+++ b/packages/shared/src/stream.ts
@@ -45,7 +45,7 @@
 /** A tick every period, in milliseconds, on the given clock, until the signal aborts. */
 export function createTicks(
 	clock: Clock,
-	period: number,
+	interval: number,
 	signal: AbortSignal,
 ): Stream<number> {
 	const subject = createSubject<number>();
@@ -55,11 +55,11 @@
 			return;
 		}
 
-		timer = clock.setTimer(period, tick);
+		timer = clock.setTimer(interval, tick);
 		subject.push(clock.now());
 	};
 
-	timer = clock.setTimer(period, tick);
+	timer = clock.setTimer(interval, tick);
 	signal.addEventListener('abort', () => {
 		timer?.cancel();
 		subject.end();
--- a/packages/shared/src/virtual-clock.ts
+++ b/packages/shared/src/virtual-clock.ts
@@ -5,7 +5,11 @@
  */
 import type {Clock, Timer} from './clock.js';
 
-type Entry = {at: number; order: number; callback: (() => void) | undefined};
+type TimerEntry = {
+	at: number;
+	order: number;
+	callback: (() => void) | undefined;
+};
 
 /** A clock under the caller's control. */
 export type VirtualClock = Clock & {
@@ -23,10 +27,10 @@
 export function createVirtualClock(
 	origin = new Date('2026-01-01T00:00:00Z'),
 ): VirtualClock {
-	const heap: Entry[] = [];
+	const heap: TimerEntry[] = [];
 	let instant = 0;
 	let order = 0;
-	let live = 0;
+	let pendingCount = 0;
 
 	const step = (limit: number): boolean => {
 		for (let entry = heap[0]; entry && entry.at <= limit; entry = heap[0]) {
@@ -34,7 +38,7 @@
 			const {callback} = entry;
 			if (callback) {
 				entry.callback = undefined;
-				live--;
+				pendingCount--;
 				instant = Math.max(instant, entry.at);
 				callback();
 				return true;
@@ -48,18 +52,18 @@
 		now: () => instant,
 		date: () => new Date(origin.getTime() + instant),
 		setTimer(delay, callback): Timer {
-			const entry: Entry = {
+			const entry: TimerEntry = {
 				at: instant + Math.max(0, delay),
 				order: order++,
 				callback,
 			};
 			insert(heap, entry);
-			live++;
+			pendingCount++;
 			return {
 				cancel() {
 					if (entry.callback) {
 						entry.callback = undefined;
-						live--;
+						pendingCount--;
 					}
 				},
 			};
@@ -81,7 +85,7 @@
 
 			instant = Math.max(instant, target);
 		},
-		pending: () => live,
+		pending: () => pendingCount,
 	};
 }
 
@@ -92,13 +96,13 @@
 	});
 }
 
-function isBefore(left: Entry, right: Entry): boolean {
+function isBefore(left: TimerEntry, right: TimerEntry): boolean {
 	return (
 		left.at < right.at || (left.at === right.at && left.order < right.order)
 	);
 }
 
-function insert(heap: Entry[], entry: Entry): void {
+function insert(heap: TimerEntry[], entry: TimerEntry): void {
 	let index = heap.push(entry) - 1;
 	while (index > 0) {
 		const parent = Math.floor((index - 1) / 2);
@@ -113,7 +117,7 @@
 	}
 }
 
-function removeFirst(heap: Entry[]): void {
+function removeFirst(heap: TimerEntry[]): void {
 	const last = heap.pop()!;
 	if (heap.length === 0) {
 		return;
