--- a/packages/command/__tests__/fake-admin.ts
+++ b/packages/command/__tests__/fake-admin.ts
@@ -1,4 +1,4 @@
-/** A small admin listener that answers from a table, and a terminal that records. */
+/** A fake admin listener with fixed answers, and a terminal that records its output. */
 import {once} from 'node:events';
 import {createServer, type IncomingMessage} from 'node:http';
 import type {AddressInfo} from 'node:net';
@@ -11,13 +11,13 @@
 	type Terminal,
 } from '../src/index.js';
 
-/** What the listener answers to `METHOD /path`; `cut` closes without an answer. */
+/** The answer to `METHOD /path`; `cut` closes the connection without an answer. */
 export type FakeAnswer = {status: number; body: unknown} | 'cut';
 
 /** A call that the listener received. */
 export type SeenCall = {call: string; authorization?: string; body: string};
 
-/** A listener under a test's control. */
+/** A running fake listener. */
 export type FakeAdmin = {
 	address: string;
 	seen: SeenCall[];
@@ -57,10 +57,10 @@
 	};
 }
 
-/** What one run of the program gave. */
+/** The exit code and output of one run of the program. */
 export type ProgramRun = {code: ExitCode; output: string; errors: string};
 
-/** Runs one command line. */
+/** Runs the program with the given arguments. */
 export async function run(
 	argumentList: string[],
 	options: {
@@ -92,7 +92,7 @@
 	return chunks.map((chunk) => new TextDecoder().decode(chunk)).join('');
 }
 
-/** Runs one command line against a listener with these answers. */
+/** Runs the program against a fake listener with the given answers. */
 export async function runAgainst(
 	answers: Record<string, FakeAnswer>,
 	argumentList: string[],
--- a/packages/command/__tests__/operator-commands.spec.ts
+++ b/packages/command/__tests__/operator-commands.spec.ts
@@ -191,8 +191,8 @@
 		});
 
 		it('tells the loser of a race what it lost to', async () => {
-			// Two operators plan against version 4, and the other confirms first.
-			// A silent overwrite would undo that one's change without a trace.
+			// Two operators plan against version 4, and the other one confirms
+			// first. A silent overwrite would revert that change unnoticed.
 			const {code, errors} = await confirmWith({
 				status: 409,
 				body: {
@@ -232,8 +232,8 @@
 		});
 
 		it('ends with 3 when the answer of the node is lost', async () => {
-			// The node dies after it has written the plan and before it answers.
-			// An operator who is told "failed" would plan the change once more.
+			// The node fails between writing the plan and answering. If the
+			// command reported a failure, the operator would plan the change again.
 			const {code, errors} = await confirmWith('cut');
 			expect(code).to.equal(3);
 			expect(errors).to.contain('it may have been accepted');
--- a/packages/command/__tests__/program.spec.ts
+++ b/packages/command/__tests__/program.spec.ts
@@ -18,7 +18,7 @@
 	'demo',
 ];
 
-/** Validates texts written under this name, each test in a directory of its own. */
+/** Returns a function that writes a text to a file of this name and validates it; each test has its own directory. */
 function useValidation(name: string) {
 	let directory = '';
 
@@ -153,7 +153,7 @@
 
 		it('knows it by its keys, also in a list', async () => {
 			for (const text of ['service: orders', '- service: orders']) {
-				// eslint-disable-next-line no-await-in-loop -- one file after another.
+				// eslint-disable-next-line no-await-in-loop -- the files have the same name.
 				const {code, output} = await validate(text);
 				expect(code).to.equal(0);
 				expect(output).to.contain('valid, read as intent');
--- a/packages/command/src/admin-client.ts
+++ b/packages/command/src/admin-client.ts
@@ -1,31 +1,31 @@
-/** Calls a node's admin listener, and tells how far a call got that failed. */
+/** Calls the admin listener of a node; failures state whether the call may have had an effect. */
 import {Buffer} from 'node:buffer';
 import {err, ok, type Result} from 'neverthrow';
 import {request} from 'undici';
 import {z} from 'zod';
 
-/** Why a call has no usable answer. */
+/** The reason why a call has no valid answer. */
 export type AdminFault = {
 	/**
-	 * `unreachable`: no connection was made, so it certainly had no effect.
-	 * `lost`: it was sent, and its answer is missing or unreadable.
-	 * `refused`: the node answered that it won't.
+	 * `unreachable`: no connection was established, so the call had no effect.
+	 * `lost`: the call was sent, but its answer is missing or invalid.
+	 * `refused`: the node answered with an error.
 	 */
 	kind: 'unreachable' | 'lost' | 'refused';
 	detail: string;
 };
 
-/** One call. */
+/** A call of the admin listener. */
 export type AdminCall<Schema extends z.ZodType> = {
 	method: 'GET' | 'POST';
 	path: string;
 	body?: unknown;
-	/** The statuses whose body the schema describes. */
+	/** The statuses of answers that match the schema. */
 	statuses: readonly number[];
 	schema: Schema;
 };
 
-/** A client of one node. */
+/** A client for one node. */
 export type AdminClient = {
 	address: string;
 	call<Schema extends z.ZodType>(
@@ -33,7 +33,7 @@
 	): Promise<Result<z.output<Schema>, AdminFault>>;
 };
 
-/** Where the node is and how to be let in; the timeout is in milliseconds. */
+/** Address and credentials; the timeout is in milliseconds. */
 export type AdminClientOptions = {
 	address: string;
 	secret?: string;
@@ -42,7 +42,7 @@
 
 const errorAnswerSchema = z.object({error: z.string()});
 
-/** Failures before a connection stood: nothing was sent. */
+/** Error codes of failures before the connection was established, so that nothing was sent. */
 const unsentCodes = new Set([
 	'ECONNREFUSED',
 	'EHOSTUNREACH',
--- a/packages/command/src/command-host.ts
+++ b/packages/command/src/command-host.ts
@@ -1,4 +1,4 @@
-/** What every command is given, and what commands share in their output. */
+/** The context of every command, with shared options and output functions. */
 import {readFileSync} from 'node:fs';
 import {
 	formatFinding,
@@ -15,7 +15,7 @@
 import {exitCodes, type ExitCode} from './exit-code.js';
 import {environmentNames, type Terminal} from './terminal.js';
 
-/** The surroundings of a command. */
+/** The context in which a command runs. */
 export type CommandHost = {
 	terminal: Terminal;
 	clock: Clock;
@@ -23,7 +23,7 @@
 	finish(code: ExitCode): void;
 };
 
-/** The options of every command that talks to a node. */
+/** The options of every command that calls a node. */
 export type NodeOptions = {
 	node?: string;
 	secretFile?: string;
@@ -34,7 +34,7 @@
 const defaultNode = '127.0.0.1:7402';
 const defaultTimeout = 10_000;
 
-/** Adds the options by which a node is found. */
+/** Adds the options that specify a node and how to call it. */
 export function addNodeOptions(command: Command): Command {
 	return command
 		.addOption(
@@ -56,12 +56,12 @@
 		);
 }
 
-/** Adds `--json`. */
+/** Adds the `--json` option. */
 export function addJsonOption(command: Command): Command {
 	return command.option('--json', 'print one JSON document');
 }
 
-/** Creates the client that the options describe; a secret that can't be read is a usage error. */
+/** Creates the client for the node in the options; an unreadable secret file is a usage error. */
 export function createNodeClient(
 	{terminal}: CommandHost,
 	options: NodeOptions,
@@ -78,7 +78,7 @@
 	});
 }
 
-/** Prints findings, one a line, and ends as refused. */
+/** Prints findings, one per line, and sets the exit code `refused`. */
 export function refuseWithFindings(
 	{terminal, finish}: CommandHost,
 	findings: readonly Finding[],
@@ -98,7 +98,11 @@
 	finish(exitCodes.refused);
 }
 
-/** Prints why there is no answer; a call without effect ends as refused whatever became of it. */
+/**
+ * Prints why there is no valid answer. `settle` is the advice for a call that
+ * may have had an effect; without it, a lost answer has the exit code `refused`
+ * too, because the call has no effect.
+ */
 export function reportFault(
 	{terminal, finish}: CommandHost,
 	fault: AdminFault,
@@ -118,7 +122,11 @@
 	terminal.write(`${JSON.stringify(value, undefined, '\t')}\n`);
 }
 
-/** Reads a duration given on the command line, into milliseconds. */
+/**
+ * Parses a duration of the command line into milliseconds.
+ *
+ * @throws InvalidArgumentError when the text is not a duration.
+ */
 export function readDurationArgument(text: string): number {
 	const duration = parseDuration(text);
 	if (duration === undefined) {
--- a/packages/command/src/confirm-command.ts
+++ b/packages/command/src/confirm-command.ts
@@ -1,4 +1,4 @@
-/** `egretspoke confirm`: accept a plan, and see where it is in force. */
+/** `egretspoke confirm`: accepts a plan and shows at which nodes it is in force. */
 import {
 	confirmAnswerSchema,
 	nodeStatusSchema,
@@ -89,7 +89,7 @@
 	printAnswer(host, answer.value, inForce, options);
 }
 
-/** Asks until every node that is heard from has the version, or the wait is over. */
+/** Polls until all listed nodes have the version or the wait, in milliseconds, is over. */
 async function waitUntilInForce(
 	clock: Clock,
 	client: AdminClient,
--- a/packages/command/src/demo-command.ts
+++ b/packages/command/src/demo-command.ts
@@ -1,4 +1,4 @@
-/** `egretspoke demo`: the whole path on stand-ins, in separate processes. */
+/** `egretspoke demo`: serves a request end to end with stand-ins, in separate processes. */
 import type {Command} from 'commander';
 import {addJsonOption, type CommandHost} from './command-host.js';
 import {exitCodes} from './exit-code.js';
--- a/packages/command/src/demo-processes.ts
+++ b/packages/command/src/demo-processes.ts
@@ -1,7 +1,7 @@
 /**
- * The processes of the demonstration: the platform's stand-in, and for each
- * VM a stand-in target with its node. Everything listens on loopback, on ports
- * that the system chooses.
+ * The processes of the demonstration: a stand-in for the platform, and for each
+ * VM a stand-in target with its node. All listen on the loopback interface, on
+ * ports that the operating system assigns.
  */
 import {mkdtemp, rm, writeFile} from 'node:fs/promises';
 import {tmpdir} from 'node:os';
@@ -22,32 +22,32 @@
 	dataCentre: string;
 	service: string;
 	calls: string[];
-	/** Milliseconds of the target's own work. */
+	/** Processing time of the target, in milliseconds, without its calls. */
 	serviceTime: number;
 };
 
-/** A VM that runs. */
+/** A running VM. */
 export type DemoNode = DemoMachine & {
-	/** `ip:port` of the listeners for callers and for operators. */
+	/** Addresses of the listeners for callers and for operators, as `ip:port`. */
 	caller: string;
 	admin: string;
 	process: Child;
 	target: Child;
 };
 
-/** Everything that runs. */
+/** All running processes. */
 export type DemoCluster = {
 	nodes: DemoNode[];
-	/** Prints what happened. */
+	/** Prints a line of output. */
 	print(line: string): void;
 	/** Runs the operator program and resolves with its exit code and output. */
 	runCommand(
 		admin: string,
 		parameters: string[],
 	): Promise<{code: number | undefined; output: string; errors: string}>;
-	/** Writes a file that the operator program can read. */
+	/** Writes a file for the operator program and resolves with its path. */
 	write(name: string, text: string): Promise<string>;
-	/** Ends everything; the number of processes that did not end by themselves. */
+	/** Stops all processes; resolves with the number of nodes that did not exit with code 0. */
 	stop(): Promise<number>;
 };
 
@@ -61,7 +61,7 @@
 const slots = 8;
 const connections = 64;
 
-/** The stand-ins ship with the repository only. */
+/** Loads the stand-ins; resolves with undefined outside the repository, because they are not published. */
 export async function loadStandIns(): Promise<StandIns | undefined> {
 	try {
 		return await import('@egretspoke/stand-ins');
@@ -70,7 +70,7 @@
 	}
 }
 
-/** Starts the processes one after another and resolves when all serve. */
+/** Starts the platform, then all VMs; resolves when all nodes are ready. */
 export async function startCluster(
 	standIns: StandIns,
 	machines: DemoMachine[],
--- a/packages/command/src/demo.ts
+++ b/packages/command/src/demo.ts
@@ -1,7 +1,7 @@
 /**
- * The demonstration: one request served end to end by separate processes on
- * embedded stand-ins, with what happened at each step. It fails, with a
- * non-zero exit code, when any step does.
+ * The demonstration: serves one request end to end with separate processes and
+ * embedded stand-ins, and prints what happens at each step. It fails with a
+ * non-zero exit code when any step fails.
  */
 import process from 'node:process';
 import {setTimeout as wait} from 'node:timers/promises';
@@ -56,7 +56,7 @@
   deadline: 2s
 `;
 
-/** Milliseconds for the configuration to be in force everywhere, with room for a busy machine. */
+/** Timeout in milliseconds until the configuration is in force everywhere, with a margin for a busy machine. */
 const inForceTimeout = 20_000;
 
 type DemoAnswer = {
@@ -64,18 +64,18 @@
 	outcome: string;
 	request: string;
 	home: string;
-	/** When the key should expire, in milliseconds since 1970. */
+	/** The suggested expiry of the key, in milliseconds since 1970. */
 	keyExpiry: string;
 	body: string;
 };
 
-/** How the demonstration prints. */
+/** The output options of the demonstration. */
 export type DemoOptions = {
-	/** One JSON object a step in place of prose. */
+	/** Prints one JSON object per step instead of text. */
 	json: boolean;
 };
 
-/** A step that did not do what it shows. */
+/** A step without the expected result. */
 class DemoFailure extends Error {}
 
 /** Runs the demonstration and resolves with the exit code. */
@@ -194,7 +194,7 @@
 ): Promise<void> {
 	const startedAt = performance.now();
 	for (;;) {
-		// eslint-disable-next-line no-await-in-loop -- polls until all agree.
+		// eslint-disable-next-line no-await-in-loop -- polls until all nodes have the version.
 		const versions = await Promise.all(
 			cluster.nodes.map(async ({admin}) => {
 				const status = await cluster.runCommand(admin, ['status', '--json']);
@@ -212,7 +212,7 @@
 		}
 
 		assertStep(elapsed < inForceTimeout, 'the version is in force everywhere');
-		// eslint-disable-next-line no-await-in-loop -- between two polls.
+		// eslint-disable-next-line no-await-in-loop -- the pause between two polls.
 		await wait(100);
 	}
 }
@@ -243,7 +243,7 @@
 	};
 }
 
-/** Prints every decision about a request, and gives the node where its last run was. */
+/** Prints all decisions about a request and returns the node that it was last routed to. */
 async function printDecisions(
 	cluster: DemoCluster,
 	request: string,
--- a/packages/command/src/exit-code.ts
+++ b/packages/command/src/exit-code.ts
@@ -1,14 +1,14 @@
-/** How the program ends; part of its interface, for scripts. */
+/** Exit codes; part of the public interface, for scripts. */
 export const exitCodes = {
-	/** Done as asked. */
+	/** Completed as requested. */
 	done: 0,
 	/** Refused, with findings or the reason; nothing took effect. */
 	refused: 1,
-	/** The command line can't be understood. */
+	/** The command line is invalid. */
 	usage: 2,
-	/** Nobody knows yet whether it took effect; the output says what settles it. */
+	/** It is unknown whether the command took effect; the output contains the command that resolves this. */
 	unknown: 3,
 } as const;
 
-/** One of the exit codes. */
+/** An exit code. */
 export type ExitCode = (typeof exitCodes)[keyof typeof exitCodes];
--- a/packages/command/src/explain-command.ts
+++ b/packages/command/src/explain-command.ts
@@ -1,4 +1,4 @@
-/** `egretspoke explain`: why was a request routed, queued or refused? */
+/** `egretspoke explain`: shows why a request was routed, queued or refused. */
 import {createRequestTraceReader} from '@egretspoke/observability';
 import {explanationSchema, type Explanation} from '@egretspoke/protocol';
 import type {Command} from 'commander';
--- a/packages/command/src/leave-command.ts
+++ b/packages/command/src/leave-command.ts
@@ -1,4 +1,4 @@
-/** `egretspoke leave`: the target beside a node takes no new work. */
+/** `egretspoke leave`: takes the target beside a node out of service. */
 import type {Command} from 'commander';
 import {z} from 'zod';
 import {
--- a/packages/command/src/node-query.ts
+++ b/packages/command/src/node-query.ts
@@ -1,4 +1,4 @@
-/** What `status`, `targets` and `explain` have in common: ask a node, print what it says. */
+/** Shared by `status`, `targets` and `explain`: sends a query to a node and prints the answer. */
 import type {Command} from 'commander';
 import type {z} from 'zod';
 import {
@@ -12,17 +12,17 @@
 import {withProgress} from './progress.js';
 import type {Terminal} from './terminal.js';
 
-/** One question and how its answer is printed. */
+/** A query and how its answer is printed. */
 export type NodeQuery<Schema extends z.ZodType, Shown = z.output<Schema>> = {
 	/** The path of the admin call. */
 	path: string;
 	schema: Schema;
-	/** What is shown of the answer, as JSON or by `print`. */
+	/** Selects the part of the answer that is printed, as JSON or by `print`. */
 	select(answer: z.output<Schema>): Shown;
 	print(terminal: Terminal, shown: Shown): void;
 };
 
-/** Asks, prints and sets the exit code. */
+/** Sends the query, prints the answer and sets the exit code. */
 export async function queryNode<Schema extends z.ZodType, Shown>(
 	host: CommandHost,
 	command: Command,
--- a/packages/command/src/plan-command.ts
+++ b/packages/command/src/plan-command.ts
@@ -1,4 +1,4 @@
-/** `egretspoke plan`: what would an intent change? */
+/** `egretspoke plan`: shows what an intent would change. */
 import {readTextFile} from '@egretspoke/shared';
 import {
 	findingsAnswerSchema,
@@ -113,7 +113,7 @@
 	typeof findingsAnswerSchema
 >['findings'][number];
 
-/** Leaves out what an answer holds as undefined. */
+/** Converts the findings of an answer, omitting properties that are undefined. */
 function readFindings(findings: AnsweredFinding[]) {
 	return findings.map(({place, path, message, advice}) => ({
 		path,
--- a/packages/command/src/program.ts
+++ b/packages/command/src/program.ts
@@ -1,4 +1,4 @@
-/** The command line as a whole. */
+/** Assembles the commands of the operator program and runs them. */
 import {createSystemClock, type Clock} from '@egretspoke/shared';
 import {Command, CommanderError} from 'commander';
 import type {CommandHost} from './command-host.js';
@@ -36,7 +36,7 @@
 
 const version = '0.1.0';
 
-/** Runs one command line, without the program's own name; resolves with the exit code. */
+/** Runs the program with the given arguments, without the program name; resolves with the exit code. */
 export async function runProgram(
 	argumentList: readonly string[],
 	terminal: Terminal,
--- a/packages/command/src/progress.ts
+++ b/packages/command/src/progress.ts
@@ -1,4 +1,4 @@
-/** Tells somebody who waits that something is going on. */
+/** Displays progress while a command waits. */
 import type {Clock, Timer} from '@egretspoke/shared';
 import type {Terminal} from './terminal.js';
 
@@ -6,8 +6,8 @@
 const eraseLine = '\r\u001B[2K';
 
 /**
- * Waits for the work, and shows from the first full second on what is going
- * on and for how long, on a terminal only; the line is erased at the end.
+ * Awaits the work. On a terminal, displays the label and the elapsed seconds,
+ * starting after one second, and erases the line at the end.
  */
 export async function withProgress<T>(
 	host: {terminal: Terminal; clock: Clock},
--- a/packages/command/src/request-trace-output.ts
+++ b/packages/command/src/request-trace-output.ts
@@ -1,4 +1,4 @@
-/** Reads logs for the story of a request, and prints it. */
+/** Reads the trace of a request from log files and prints it. */
 import {createReadStream} from 'node:fs';
 import process from 'node:process';
 import {createInterface} from 'node:readline';
@@ -12,7 +12,7 @@
 import {renderTable, type Column} from './table.js';
 import type {Terminal} from './terminal.js';
 
-/** Reads the files one after the other; gives what can't be read. */
+/** Reads the files in sequence; on failure resolves with an error message. */
 export async function readLogs(
 	reader: RequestTraceReader,
 	files: readonly string[],
@@ -20,7 +20,7 @@
 	for (const file of files) {
 		const input = file === '-' ? process.stdin : createReadStream(file);
 		try {
-			// eslint-disable-next-line no-await-in-loop -- one file after the other.
+			// eslint-disable-next-line no-await-in-loop -- files are read in sequence.
 			for await (const line of createInterface({input})) {
 				reader.addLine(line);
 			}
@@ -33,7 +33,7 @@
 	return undefined;
 }
 
-/** Prints the story; ends as refused when no line is about the request. */
+/** Prints the trace; sets the exit code `refused` when no line is about the request. */
 export function showRequestTrace(
 	{terminal, finish}: CommandHost,
 	requestTrace: RequestTrace,
@@ -95,7 +95,7 @@
 	{heading: 'DETAILS', cell: ({details}) => renderDetails(details ?? {})},
 ];
 
-/** Details as `key=value`. */
+/** Formats details as `key=value` pairs. */
 export function renderDetails(
 	details: Readonly<Record<string, string | number | boolean>>,
 ): string {
--- a/packages/command/src/status-command.ts
+++ b/packages/command/src/status-command.ts
@@ -1,4 +1,4 @@
-/** `egretspoke status`: how one node is, and what it knows of the others. */
+/** `egretspoke status`: shows the state of one node and its view of the other nodes. */
 import {nodeStatusSchema, type NodeStatus} from '@egretspoke/protocol';
 import type {Command} from 'commander';
 import {
--- a/packages/command/src/table.ts
+++ b/packages/command/src/table.ts
@@ -1,13 +1,13 @@
-/** Tables of text, their columns as wide as their widest cell. */
+/** Renders text tables whose columns are as wide as their widest cell. */
 import type {ChalkInstance} from 'chalk';
 
-/** One column: its heading and what it shows of a row. */
+/** A column: its heading and a function that returns the cell of a row. */
 export type Column<Row> = {
 	heading: string;
 	cell(row: Row): string | number;
 };
 
-/** The heading and one line for each row; an empty text when there are none. */
+/** Renders the headings and one line per row; returns an empty string when there are no rows. */
 export function renderTable<Row>(
 	rows: readonly Row[],
 	columns: ReadonlyArray<Column<Row>>,
@@ -36,7 +36,7 @@
 	].join('\n');
 }
 
-/** Names come from other machines; a control character could redraw the screen. */
+/** Replaces control characters, because names come from other machines and could otherwise manipulate the terminal. */
 function cleanCell(text: string): string {
 	return text.replaceAll(/\p{Cc}/gu, ' ');
 }
--- a/packages/command/src/targets-command.ts
+++ b/packages/command/src/targets-command.ts
@@ -1,4 +1,4 @@
-/** `egretspoke targets`: the targets that a node knows. */
+/** `egretspoke targets`: lists the targets that a node knows. */
 import {targetRowSchema, type TargetRow} from '@egretspoke/protocol';
 import type {Command} from 'commander';
 import {z} from 'zod';
--- a/packages/command/src/terminal.ts
+++ b/packages/command/src/terminal.ts
@@ -1,4 +1,4 @@
-/** What the program writes to and reads from, so that tests can stand in for it. */
+/** The terminal that the program uses, as an interface that tests can replace. */
 import process from 'node:process';
 import {Chalk, type ChalkInstance} from 'chalk';
 
@@ -11,18 +11,18 @@
 
 /** Output, environment and colours. */
 export type Terminal = {
-	/** Whether progress can be shown and erased again. */
+	/** Whether progress can be displayed and erased. */
 	canShowProgress: boolean;
-	/** Colours for results; plain text when standard output isn't a terminal. */
+	/** Colours for results; plain text when standard output is not a terminal. */
 	colour: ChalkInstance;
 	environment: Readonly<Partial<Record<string, string>>>;
 	/** Writes results. */
 	write(text: string): void;
-	/** Writes what is not a result: findings, progress, advice. */
+	/** Writes messages that are not results: findings, progress, advice. */
 	writeError(text: string): void;
 };
 
-/** The terminal of this process; colour only on a terminal and without NO_COLOR. */
+/** Creates the terminal of this process; colours require a TTY and no NO_COLOR variable. */
 export function createProcessTerminal(): Terminal {
 	const {stdout, stderr, env} = process;
 	const hasColour =
@@ -42,7 +42,7 @@
 	};
 }
 
-/** Colours, or plain text. */
+/** Creates a colour formatter that returns plain text if `hasColour` is false. */
 export function createColour(hasColour: boolean): ChalkInstance {
 	return new Chalk({level: hasColour ? 1 : 0});
 }
--- a/packages/command/src/validate-command.ts
+++ b/packages/command/src/validate-command.ts
@@ -1,4 +1,4 @@
-/** `egretspoke validate`: every fault of a file, without a node. */
+/** `egretspoke validate`: reports all faults of a file, without calling a node. */
 import {readIntents} from '@egretspoke/control';
 import {readDocument, readTextFile, type Finding} from '@egretspoke/shared';
 import {nodeSettingsSchema, parseNodeSettings} from '@egretspoke/node';
@@ -14,7 +14,7 @@
 import {exitCodes} from './exit-code.js';
 
 type Reader = {
-	/** The keys by which a file of this kind is known. */
+	/** The keys that identify a file of this kind. */
 	keys: readonly string[];
 	read(text: string, file: string): Result<unknown, Finding[]>;
 };
@@ -89,7 +89,7 @@
 	host.finish(exitCodes.done);
 }
 
-/** The kind that knows most of the keys at the top of the file, or of its list of intents. */
+/** Returns the kind that matches most of the top-level keys of the file, or of the intents in its list. */
 function detectKind(text: string, file: string): Kind {
 	const map = z.record(z.string(), z.unknown());
 	const schema = z.union([map, z.array(map)]);
--- a/packages/observability/__tests__/decision-history.spec.ts
+++ b/packages/observability/__tests__/decision-history.spec.ts
@@ -40,9 +40,9 @@
 	});
 
 	it('keeps a refusal while ordinary decisions push each other out', () => {
-		// A boat owner asks a minute later why the order was refused. On a busy
-		// node thousands of ordinary decisions came since; in one common ring
-		// the answer would be "not known here".
+		// An operator looks up a refusal a minute later. On a busy node thousands
+		// of ordinary decisions have been recorded since; in one shared buffer
+		// they would have evicted the refusal.
 		const history = createDecisionHistory({ordinary: 10, notable: 10});
 		history.record({
 			request: 'refused',
--- a/packages/observability/__tests__/event-log.spec.ts
+++ b/packages/observability/__tests__/event-log.spec.ts
@@ -96,9 +96,9 @@
 	});
 
 	it('drops and counts when the output stands still, and keeps room for notices', () => {
-		// Whatever reads the log has stopped. Without a bound the lines would
-		// fill the memory until the process dies; here a user only misses lines,
-		// and the log says how many once it is read again.
+		// The consumer of the log has stopped reading. Without a bound the lines
+		// would fill the memory until the process dies; with it, lines are
+		// dropped, and their number is logged once the consumer reads again.
 		const {clock, gate, log, lines} = startLog({capacity: 100});
 		gate.isReady = false;
 		for (let index = 0; index < 150; index++) {
@@ -118,8 +118,8 @@
 	});
 
 	it('lets no request id forge a line', () => {
-		// A caller puts a line end and a false line into its request id. Whoever
-		// reads the log would see an event that never happened.
+		// A caller puts a line break and a forged line into its request id; the
+		// log would then show an event that never happened.
 		const {log, lines} = startLog();
 		log.record('routed', {
 			request: 'r1\n2026 ERROR 2006 childFailed',
--- a/packages/observability/__tests__/metrics.spec.ts
+++ b/packages/observability/__tests__/metrics.spec.ts
@@ -87,9 +87,9 @@
 	});
 
 	it('bounds the series that a varying label can make', async () => {
-		// A caller sends a new kind of nonsense with each request. Without a
-		// bound each becomes a series that is never freed, and the node's
-		// memory grows until it dies.
+		// Each request of a caller is malformed in a new way. Without a limit each
+		// kind creates a series that is never freed, and the memory of the node
+		// grows until the process dies.
 		const metrics = createMetrics(() => readings);
 		for (let index = 0; index < 1000; index++) {
 			metrics.malformedInput('caller', `kind-${index}`);
--- a/packages/observability/src/catalogue-pages.ts
+++ b/packages/observability/src/catalogue-pages.ts
@@ -1,12 +1,12 @@
-/** Renders docs/EVENTS.md and docs/METRICS.md from the two tables. */
+/** Renders docs/EVENTS.md and docs/METRICS.md from the tables of events and metrics. */
 import {listEvents} from './event-catalogue.js';
 import {metricDefinitions} from './metric-catalogue.js';
 import type {MetricDefinition} from './metric-definition.js';
 
-/** A page of the docs and its whole text. */
+/** A page of the documentation with its full text. */
 export type CataloguePage = {file: string; text: string};
 
-/** Both pages. */
+/** Renders both pages. */
 export function renderCataloguePages(): CataloguePage[] {
 	return [
 		{file: 'EVENTS.md', text: renderEvents()},
--- a/packages/observability/src/decision-events.ts
+++ b/packages/observability/src/decision-events.ts
@@ -1,7 +1,7 @@
-/** The events about one request: what was decided at each step, and why. */
+/** Events about one request: what was decided at each step, and why. */
 import type {EventDefinition} from './event-definition.js';
 
-/** Decisions, in the order in which a request meets them. */
+/** Decisions, in the order in which they are made about a request. */
 export const decisionEvents = {
 	entryRefused: {
 		code: 1002,
--- a/packages/observability/src/decision-history.ts
+++ b/packages/observability/src/decision-history.ts
@@ -1,15 +1,16 @@
 /**
- * The recent decisions of a node by request id, for `egretspoke explain`.
+ * Stores the recent decisions of a node by request id, for `egretspoke explain`.
  *
- * Two rings of fixed size: the ordinary decisions of a busy node fill theirs
- * within seconds, while refusals and retries, which people ask about, stay
- * for longer in the other. Nothing here grows with load.
+ * There are two ring buffers of fixed size, so memory does not grow with load.
+ * Ordinary decisions of a busy node fill their buffer within seconds; refusals
+ * and retries, which operators look up, have a buffer of their own and stay
+ * longer.
  */
 import type {Explanation} from '@egretspoke/protocol';
 import {events, type DecisionEventName} from './event-catalogue.js';
 import type {EventDefinition} from './event-definition.js';
 
-/** One decision as it is remembered. */
+/** One decision in the history. */
 export type RecordedDecision = {
 	request: string;
 	name: DecisionEventName;
@@ -19,28 +20,28 @@
 	details?: Readonly<Record<string, string | number>>;
 };
 
-/** How many decisions are remembered. */
+/** How many decisions of each kind are stored. */
 export type DecisionHistoryOptions = {
-	/** Ordinary decisions. */
+	/** Capacity for ordinary decisions. */
 	ordinary?: number;
-	/** Refusals, retries and answers from the ledger. */
+	/** Capacity for refusals, retries and answers from the ledger. */
 	notable?: number;
 };
 
-/** The memory. */
+/** A bounded history of decisions. */
 export type DecisionHistory = {
-	/** Remembers a decision; forgets the oldest of its kind when full. */
+	/** Stores a decision; overwrites the oldest one of its kind when full. */
 	record(decision: RecordedDecision): void;
-	/** What is still remembered of a request, the oldest first. */
+	/** Returns the stored decisions about a request, oldest first. */
 	explain(request: string): Explanation['decisions'];
 };
 
 const defaultOrdinary = 4096;
 const defaultNotable = 4096;
-/** The longest reason that is kept, so that the memory is bounded in bytes. */
+/** Longer reasons are truncated to this many characters, which bounds the history in bytes. */
 const maxReasonLength = 300;
 
-/** Creates an empty memory. */
+/** Creates an empty history. */
 export function createDecisionHistory(
 	options: DecisionHistoryOptions = {},
 ): DecisionHistory {
--- a/packages/observability/src/event-catalogue.ts
+++ b/packages/observability/src/event-catalogue.ts
@@ -1,13 +1,13 @@
 /**
- * Every event that the product logs, by name. The log, `egretspoke explain`
- * and docs/EVENTS.md are made from this table and from nothing else.
+ * All log events by name. This table is the only source of the log lines, of
+ * `egretspoke explain` and of docs/EVENTS.md.
  */
 import {decisionEvents} from './decision-events.js';
 import {noticeEvents} from './notice-events.js';
 import {meshEvents} from './mesh-events.js';
 import type {EventDefinition} from './event-definition.js';
 
-/** The table: decisions from 1000, notices from 2000. */
+/** All event definitions: codes of decisions start at 1000, those of notices at 2000. */
 export const events = {
 	...decisionEvents,
 	...noticeEvents,
@@ -17,13 +17,13 @@
 /** The name of an event. */
 export type EventName = keyof typeof events;
 
-/** The names of the events that are about one request. */
+/** The name of an event about one request. */
 export type DecisionEventName = keyof typeof decisionEvents;
 
-/** The names of the events that are about the node. */
+/** The name of an event about the node. */
 export type NoticeEventName = keyof typeof noticeEvents;
 
-/** Every row, in the order of the numbers. */
+/** Returns all events, sorted by code. */
 export function listEvents(): Array<EventDefinition & {name: EventName}> {
 	return Object.entries<EventDefinition>(events)
 		.map(([name, definition]) => ({...definition, name: name as EventName}))
--- a/packages/observability/src/event-definition.ts
+++ b/packages/observability/src/event-definition.ts
@@ -1,29 +1,30 @@
-/** The shape of a row of the event table. */
+/** The type of an entry of the event table. */
 
-/** The levels of a line, as loglevel names them. */
+/** Log levels as named by loglevel, in ascending order. */
 export const logLevels = ['trace', 'debug', 'info', 'warn', 'error'] as const;
 
-/** How much a line matters. */
+/** The severity of an event. */
 export type LogLevel = (typeof logLevels)[number];
 
-/** One numbered event. Numbers are never given a second meaning. */
+/** One numbered event. Codes are never reused with another meaning. */
 export type EventDefinition = {
 	code: number;
 	level: LogLevel;
 	/**
-	 * `decision` is about one request: sampled in the log, and remembered for
-	 * `explain`. `notice` is about the node: always logged when its level is.
+	 * `decision` is about one request: sampled in the log and stored for
+	 * `explain`. `notice` is about the node: never sampled, so logged whenever
+	 * its level is enabled.
 	 */
 	kind: 'decision' | 'notice';
 	/**
-	 * Decisions that somebody is likely to ask about are remembered apart, so
-	 * that the many ordinary ones don't push them out.
+	 * Marks decisions that operators are likely to look up. They are stored
+	 * separately, so that the many ordinary ones do not evict them.
 	 */
 	isNotable?: boolean;
-	/** The line's text; `{name}` stands for a detail. */
+	/** The message; `{name}` is the placeholder of a detail. */
 	template: string;
-	/** What it means, for the catalogue page. */
+	/** What the event means, for the catalogue page. */
 	meaning: string;
-	/** What whoever is on call does about it. */
+	/** What an operator should do, for the catalogue page. */
 	advice: string;
 };
--- a/packages/observability/src/event-log.ts
+++ b/packages/observability/src/event-log.ts
@@ -1,11 +1,10 @@
 /**
- * The log: numbered events through loglevel, as text or JSON lines.
+ * The event log: writes numbered events through loglevel, as text or JSON lines.
  *
- * A line for each routing decision must not cost the request it is about. On
- * the request's path an event costs a comparison of levels, a hash of the
- * request id when only a share is logged, and a push onto a bounded buffer.
- * Formatting and writing happen later, on the clock's timer, a batch at a
- * time.
+ * Logging each routing decision must not delay the request. On the request
+ * path an event costs a level check, a hash of the request id when requests
+ * are sampled, and a push onto a bounded buffer. Lines are formatted and
+ * written later, in batches, from a timer of the clock.
  */
 import type {Clock} from '@egretspoke/shared';
 import loglevel from 'loglevel';
@@ -20,44 +19,44 @@
 import type {LogSink} from './log-sink.js';
 import {createRequestSample} from './request-sample.js';
 
-/** What a log is built from; the first four stand in the settings. */
+/** The options of a log; the first four come from the settings. */
 export type EventLogOptions = {
 	node: string;
 	level: loglevel.LogLevelNames | 'silent';
 	format: LogFormat;
-	/** The share of requests whose decisions are logged. */
+	/** The share of requests, from 0 to 1, whose decisions are logged. */
 	sample: number;
 	clock: Clock;
 	sink: LogSink;
-	/** The most events that wait to be written. */
+	/** The maximum number of buffered events. */
 	capacity?: number;
-	/** Milliseconds from an event to its line. */
+	/** Delay of a write after an event, in milliseconds. */
 	delay?: number;
-	/** The most lines formatted in one go. */
+	/** The maximum number of lines written at once. */
 	batch?: number;
 };
 
-/** A node's log. */
+/** The event log of a node. */
 export type EventLog = {
 	/** Records an event; never blocks and never throws. */
 	record(name: EventName, fields?: EventFields): void;
-	/** Whether `record` would keep it; spares building details for nothing. */
+	/** Whether `record` would log the event; lets callers skip building details that are not logged. */
 	isEnabled(name: EventName, request?: string): boolean;
-	/** Writes what waits, as far as the sink takes it. */
+	/** Writes the buffered events while the sink is ready. */
 	flush(): void;
-	/** Lines dropped so far because the buffer was full. */
+	/** The number of lines dropped so far because the buffer was full. */
 	dropped(): number;
 };
 
 const defaultCapacity = 8192;
 const defaultDelay = 50;
 const defaultBatch = 256;
-/** The part of the buffer that decisions leave free for notices. */
+/** The share of the buffer that is reserved for notices. */
 const noticeReserve = 0.1;
 
 let loggerCount = 0;
 
-/** Creates a log of its own; several can live in one process. */
+/** Creates a log with a logger of its own, so one process can have several. */
 export function createEventLog(options: EventLogOptions): EventLog {
 	const {clock, sink, node} = options;
 	const capacity = options.capacity ?? defaultCapacity;
@@ -144,7 +143,7 @@
 	};
 }
 
-/** The events that a level lets through, worked out once. */
+/** Returns the names of the events that are logged at a level. */
 function listEnabledEvents(level: EventLogOptions['level']): Set<EventName> {
 	const minLevel =
 		level === 'silent' ? logLevels.length : logLevels.indexOf(level);
@@ -157,7 +156,7 @@
 	);
 }
 
-/** A loglevel logger whose methods append to the batch. */
+/** Creates a loglevel logger whose methods append to `lines`. */
 function createLogger(
 	level: EventLogOptions['level'],
 	lines: string[],
--- a/packages/observability/src/log-cost.ts
+++ b/packages/observability/src/log-cost.ts
@@ -1,7 +1,7 @@
 /**
- * Measures what a decision's line, its memory and its metrics cost: on the
- * path of the request, and off it, where the line is formatted. Run by
- * `npm run --silent log-cost -- --json`.
+ * Measures the cost of logging a decision, storing it in the history and
+ * updating the metrics: on the request path, and off it, where lines are
+ * formatted. Run with `npm run --silent log-cost -- --json`.
  */
 import process from 'node:process';
 import {createSystemClock} from '@egretspoke/shared';
@@ -10,13 +10,13 @@
 import {createMetrics} from './metrics.js';
 
 const rounds = 2000;
-/** Below the capacity of the buffer, so that nothing is dropped. */
+/** Below the capacity of the buffer, so that no event is dropped. */
 const perRound = 1000;
 const clock = createSystemClock();
 
 type Cost = {onPath: number; offPath?: number};
 
-/** Nanoseconds for each of these, the compiler's warm-up included. */
+/** Nanoseconds per call, JIT warm-up included. */
 const costs: Record<string, Cost> = {
 	textAll: measureLog({format: 'text', sample: 1}),
 	jsonAll: measureLog({format: 'json', sample: 1}),
--- a/packages/observability/src/log-line.ts
+++ b/packages/observability/src/log-line.ts
@@ -1,29 +1,29 @@
-/** Turns a recorded event into the text of a line. Runs off the request path. */
+/** Formats recorded events as log lines. Runs off the request path. */
 import {events, type EventName} from './event-catalogue.js';
 
-/** What an event says besides its number. */
+/** The variable data of an event. */
 export type EventFields = {
-	/** The request that a decision is about. */
+	/** The id of the request that a decision is about. */
 	request?: string;
-	/** Why it was decided so. */
+	/** The reason for the decision. */
 	reason?: string;
 	details?: Readonly<Record<string, string | number | boolean>>;
 };
 
-/** An event as it was recorded. */
+/** An event with the time at which it was recorded. */
 export type RecordedEvent = EventFields & {
 	name: EventName;
 	/** Milliseconds since 1970. */
 	at: number;
 };
 
-/** The formats of the settings. */
+/** The log formats that the settings allow. */
 export type LogFormat = 'text' | 'json';
 
-/** Turns an event into a line without its line end. */
+/** Formats an event as a line, without the line terminator. */
 export type LineFormatter = (event: RecordedEvent, node: string) => string;
 
-/** One formatter a format. */
+/** The formatter of each log format. */
 export const lineFormatters: Record<LogFormat, LineFormatter> = {
 	text(event, node) {
 		const {code, level, template} = events[event.name];
@@ -49,7 +49,7 @@
 		}),
 };
 
-/** The event's text with its details filled in; a detail that is missing shows as its name. */
+/** Fills the details of an event into its template; the placeholder of a missing detail stays. */
 export function fillTemplate(event: RecordedEvent): string {
 	let text = '';
 	for (const {before, key} of templateParts[event.name]) {
@@ -65,7 +65,7 @@
 
 type TemplatePart = {before: string; key: string | undefined};
 
-/** The templates taken apart once; a search in each line costs microseconds. */
+/** All templates, split once at startup, because a search per line costs microseconds. */
 const templateParts = Object.fromEntries(
 	Object.entries(events).map(([name, {template}]) => [
 		name,
@@ -83,8 +83,8 @@
 const controlPattern = /\p{Cc}/u;
 
 /**
- * A caller chooses its request id, and a line end within one would forge a
- * line of its own; one would notice lines of events that never happened.
+ * Escapes control characters. Callers choose their request ids, and a line
+ * break in an id would forge a log line of an event that never happened.
  */
 function escapeControls(line: string): string {
 	if (!controlPattern.test(line)) {
--- a/packages/observability/src/log-sink.ts
+++ b/packages/observability/src/log-sink.ts
@@ -1,18 +1,18 @@
-/** Where lines go. */
+/** The output of the log. */
 import type {Writable} from 'node:stream';
 
-/** Takes whole batches of lines. */
+/** Writes batches of lines. */
 export type LogSink = {
-	/** False while what was written before has not left yet. */
+	/** False while earlier output is still buffered. */
 	isReady(): boolean;
-	/** Writes a batch; each line ends with a line end. */
+	/** Writes a batch; each line ends with a line terminator. */
 	write(batch: string): void;
 };
 
 /**
- * Writes to a stream such as standard output. A reader that stops reading
- * would let the stream buffer without end; here it only makes the sink not
- * ready, and the log's own bounded buffer drops and counts.
+ * Creates a sink for a stream such as standard output. When the consumer stops
+ * reading, the stream would buffer without limit; instead the sink reports that
+ * it is not ready, and the bounded buffer of the log drops and counts events.
  */
 export function createStreamSink(stream: Writable): LogSink {
 	return {
--- a/packages/observability/src/mesh-events.ts
+++ b/packages/observability/src/mesh-events.ts
@@ -1,7 +1,7 @@
-/** The events of a mesh node: its target, the store, and what became of requests. */
+/** The events of a mesh node: its target, the store, and the outcomes of requests. */
 import type {EventDefinition} from './event-definition.js';
 
-/** Decisions 16xx, notices 25xx; some of these numbers are events of both kinds of node. */
+/** Codes of decisions are 16xx, those of notices 25xx; some codes in these ranges are events of both kinds of node. */
 export const meshEvents = {
 	meshOwnAnswer: {
 		code: 1601,
--- a/packages/observability/src/mesh-metric-catalogue.ts
+++ b/packages/observability/src/mesh-metric-catalogue.ts
@@ -1,7 +1,7 @@
-/** The metrics that only a mesh node has. Those that both kinds of node have stand in `metric-catalogue.ts`. */
+/** The metrics that only mesh nodes have. Metrics that both kinds of node have are defined in `metric-catalogue.ts`. */
 import type {MetricDefinition} from './metric-definition.js';
 
-/** The table. */
+/** The metric definitions of mesh nodes. */
 export const meshMetricDefinitions = {
 	meshRequests: {
 		name: 'egretspoke_mesh_requests_total',
--- a/packages/observability/src/mesh-metrics.ts
+++ b/packages/observability/src/mesh-metrics.ts
@@ -1,4 +1,4 @@
-/** The metrics of one mesh node: a registry of its own, and typed recorders. */
+/** The metrics of one mesh node: its own registry and typed functions that record values. */
 import {Registry} from 'prom-client';
 import {
 	createCounter,
@@ -12,34 +12,35 @@
 	type TargetReadings,
 } from './metric-instruments.js';
 
-/** How a request ended for its caller. */
+/** The outcome of a request for its caller. */
 export type MeshOutcome =
 	'answered' | 'failed' | 'refused' | 'unknown' | 'left';
 
-/** A request that ended at the entry. */
+/** A request that ended at its entry node. */
 export type EndedMeshRequest = {
 	route: string;
 	outcome: MeshOutcome;
-	/** Why there is no answer of a target; empty otherwise. */
+	/** Why no target answered; empty otherwise. */
 	reason: string;
-	/** Milliseconds from its arrival. */
+	/** Milliseconds from arrival to end. */
 	duration: number;
 };
 
-/** What a node shows at the moment when it is asked. */
+/** The current values that are read at each collection. */
 export type MeshReadings = Omit<ProcessReadings, 'logLinesDropped'> &
 	TargetReadings & {
-		/** Nodes known, this one included. */
+		/** Number of known nodes, this one included. */
 		members: number;
 		shedLevel: number;
 	};
 
-/** The recorders of a node; none of them blocks or throws. */
+/** Records the metrics of a node; no method blocks or throws. */
 export type MeshMetrics = {
 	requestEnded(request: EndedMeshRequest): void;
 	attemptEnded(outcome: string): void;
-	/** Milliseconds that the target was given a request after its arrival here, and that it then took. */
+	/** Records the milliseconds between the arrival of a request at this node and its start at the target. */
 	targetStarted(queued: number): void;
+	/** Records the milliseconds that the target took. */
 	targetEnded(duration: number): void;
 	retried(service: string): void;
 	targetCrashed(): void;
@@ -47,12 +48,12 @@
 	storeFailed(call: string): void;
 };
 
-/** The metrics with their text for Prometheus. */
+/** Metrics that can be rendered in the text format of Prometheus. */
 export type RenderedMeshMetrics = MeshMetrics & {
 	render(readings: MeshReadings, linesDropped: number): Promise<string>;
 };
 
-/** Creates the metrics. */
+/** Creates the metrics of a mesh node. */
 export function createMeshMetrics(): RenderedMeshMetrics {
 	const registry = new Registry();
 	const requests = createCounter(registry, 'meshRequests');
--- a/packages/observability/src/metric-catalogue.ts
+++ b/packages/observability/src/metric-catalogue.ts
@@ -1,18 +1,18 @@
 /**
- * Every metric of a node, in Prometheus' naming rules: base units, `_total`
- * for counters. The registry and docs/METRICS.md are made from this table.
+ * All metrics of a node, named by the rules of Prometheus: base units, `_total`
+ * for counters. The registry and docs/METRICS.md are generated from this table.
  */
 
 import {meshMetricDefinitions} from './mesh-metric-catalogue.js';
 import type {MetricDefinition} from './metric-definition.js';
 
-/** Seconds; finest where the added time of a hop lies. */
+/** Histogram buckets in seconds; finest in the range of the latency that a hop adds. */
 export const timeBuckets = [
 	0.0005, 0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2.5, 5,
 	10, 30,
 ] as const;
 
-/** The table. */
+/** All metric definitions, those of mesh nodes included. */
 export const metricDefinitions = {
 	...meshMetricDefinitions,
 	requests: {
@@ -203,5 +203,5 @@
 	},
 } as const satisfies Record<string, MetricDefinition>;
 
-/** A metric's key in the table. */
+/** The key of a metric in the table. */
 export type MetricKey = keyof typeof metricDefinitions;
--- a/packages/observability/src/metric-definition.ts
+++ b/packages/observability/src/metric-definition.ts
@@ -1,11 +1,11 @@
-/** One metric. */
+/** The definition of one metric. */
 export type MetricDefinition = {
-	/** The name that Prometheus sees. */
+	/** The name in Prometheus. */
 	name: string;
 	type: 'counter' | 'gauge' | 'histogram';
 	labels: readonly string[];
-	/** What it counts or shows. */
+	/** What the metric counts or measures. */
 	help: string;
-	/** How it is read. */
+	/** How to interpret the values, for the catalogue page. */
 	reading: string;
 };
--- a/packages/observability/src/metric-instruments.ts
+++ b/packages/observability/src/metric-instruments.ts
@@ -1,4 +1,4 @@
-/** Makes the instruments of a registry from the table of metrics. */
+/** Creates the prom-client instruments of a registry from the table of metrics. */
 import process from 'node:process';
 import {Counter, Gauge, Histogram, type Registry} from 'prom-client';
 import {
@@ -8,24 +8,24 @@
 } from './metric-catalogue.js';
 
 /**
- * The most values that one label takes. Without a bound a caller who varies
- * what ends up in a label would grow the registry until the node runs out of
- * memory; one would notice pages of series that each count 1.
+ * The maximum number of values of one label. Without this limit, a caller that
+ * varies a value used as a label would grow the registry, by series that each
+ * count 1, until the node runs out of memory.
  */
 const maxLabelValues = 100;
 const otherValue = 'other';
 
-/** A counter of the table. */
+/** Creates a counter of the table. */
 export function createCounter(registry: Registry, key: MetricKey): Counter {
 	return new Counter({...describe(key), registers: [registry]});
 }
 
-/** A gauge of the table. */
+/** Creates a gauge of the table. */
 export function createGauge(registry: Registry, key: MetricKey): Gauge {
 	return new Gauge({...describe(key), registers: [registry]});
 }
 
-/** A histogram of the table, in seconds. */
+/** Creates a histogram of the table, with buckets in seconds. */
 export function createHistogram(registry: Registry, key: MetricKey): Histogram {
 	return new Histogram({
 		...describe(key),
@@ -34,7 +34,7 @@
 	});
 }
 
-/** A counter whose total is kept elsewhere. */
+/** Creates a counter whose total is tracked elsewhere; the returned function updates it to the given total. */
 function createExternalCounter(registry: Registry, key: MetricKey) {
 	const counter = createCounter(registry, key);
 	let lastTotal = 0;
@@ -49,7 +49,7 @@
 	return {name, help, labelNames: [...labels]};
 }
 
-/** Lets the first values of a label through and names the rest alike. */
+/** Creates a function that returns the first values of a label unchanged and maps all further ones to `other`. */
 export function createLabelLimiter(): (value: string) => string {
 	const known = new Set<string>();
 	return (value) => {
@@ -66,7 +66,7 @@
 	};
 }
 
-/** What every kind of node shows of its process. */
+/** The process values that every kind of node exports. */
 export type ProcessReadings = {
 	configurationVersion: number;
 	isLeaving: boolean;
@@ -76,10 +76,10 @@
 };
 
 const microsecondsPerSecond = 1e6;
-/** Durations are told in milliseconds and shown in seconds. */
+/** Durations are recorded in milliseconds and exported in seconds. */
 export const secondsPerMillisecond = 1e-3;
 
-/** Creates what shows the process; to be called with new readings for each collection. */
+/** Creates the process metrics; call the returned function with current readings before each collection. */
 export function createProcessGauges(
 	registry: Registry,
 ): (readings: ProcessReadings) => void {
@@ -103,7 +103,7 @@
 	};
 }
 
-/** What every kind of node shows of the target beside it. */
+/** The values of the local target that every kind of node exports. */
 export type TargetReadings = {
 	service: string;
 	inFlight: number;
@@ -111,7 +111,7 @@
 	limit: number;
 };
 
-/** Creates what shows the target; to be called with new readings for each collection. */
+/** Creates the gauges of the target; call the returned function with current readings before each collection. */
 export function createTargetGauges(
 	registry: Registry,
 ): (readings: TargetReadings) => void {
--- a/packages/observability/src/metrics.ts
+++ b/packages/observability/src/metrics.ts
@@ -1,4 +1,4 @@
-/** The metrics of one node: a registry of its own, and typed recorders. */
+/** The metrics of one node: its own registry and typed functions that record values. */
 import type {RequestClass} from '@egretspoke/protocol';
 import {Registry} from 'prom-client';
 import type {MetricKey} from './metric-catalogue.js';
@@ -26,10 +26,10 @@
 	duration: number;
 };
 
-/** What the node shows at the moment when it is asked. */
+/** The current values that are read at each collection. */
 export type NodeReadings = ProcessReadings & {
 	isPlatformReachable: boolean;
-	/** Members by state. */
+	/** Number of members by state. */
 	members: Readonly<Record<string, number>>;
 	ledgerKeys: number;
 	ledgerBytes: number;
@@ -37,14 +37,14 @@
 	target?: TargetReadings & {level: number};
 };
 
-/** Where malformed input came in. */
+/** The listener that received malformed input. */
 export type ListenerName = 'caller' | 'peer' | 'admin';
 
-/** The recorders of a node; none of them blocks or throws. */
+/** Records the metrics of a node; no method blocks or throws. */
 export type Metrics = {
 	registry: Registry;
 	requestEnded(request: EndedRequest): void;
-	/** Milliseconds that a dispatched request had waited. */
+	/** Records how long a dispatched request waited, in milliseconds. */
 	waited(service: string, delay: number): void;
 	retried(service: string): void;
 	retryRefused(service: string): void;
@@ -54,11 +54,11 @@
 	suspended(): void;
 	targetCrashed(): void;
 	requestQuarantined(): void;
-	/** The text that Prometheus collects. */
+	/** Returns the metrics in the text format of Prometheus. */
 	render(): Promise<string>;
 };
 
-/** How the text is announced over HTTP. */
+/** The content type of the rendered text. */
 export const metricsContentType = Registry.PROMETHEUS_CONTENT_TYPE;
 
 const outcomeLabels: Record<EndedRequest['outcome'], string> = {
@@ -67,7 +67,7 @@
 	unknown: 'unknown',
 };
 
-/** Creates the metrics; `read` is asked once for each collection. */
+/** Creates the metrics; `read` is called once per collection. */
 export function createMetrics(read: () => NodeReadings): Metrics {
 	const registry = new Registry();
 	const requests = createCounter(registry, 'requests');
@@ -139,7 +139,7 @@
 	};
 }
 
-/** Sets every gauge, and the counters that are kept elsewhere, from one reading. */
+/** Creates a function that sets all gauges, and the counters that are tracked elsewhere, from one set of readings. */
 function createReadingGauges(registry: Registry) {
 	const gauge = (key: MetricKey) => createGauge(registry, key);
 	const platformReachable = gauge('platformReachable');
--- a/packages/observability/src/notice-events.ts
+++ b/packages/observability/src/notice-events.ts
@@ -1,7 +1,7 @@
-/** The events about the node itself, its peers and the platform. */
+/** Events about the node itself, its peers and the platform. */
 import type {EventDefinition} from './event-definition.js';
 
-/** Notices by subject: process 20, membership 21, configuration 22, platform 23, input 24, log 29. */
+/** The first two digits of a code give its subject: process 20, membership 21, configuration 22, platform 23, input 24, log 29. */
 export const noticeEvents = {
 	started: {
 		code: 2001,
--- a/packages/observability/src/request-sample.ts
+++ b/packages/observability/src/request-sample.ts
@@ -1,10 +1,10 @@
-/** Chooses by request id, so that all nodes of a chain log the same requests. */
+/** Samples requests by a hash of their id, so that all nodes of a call chain log the same requests. */
 
 import {hashText} from '@egretspoke/shared';
 
 const hashRange = 2 ** 32;
 
-/** Creates the choice for a share from 0 to 1. */
+/** Creates a predicate that selects the given share (0 to 1) of request ids. */
 export function createRequestSample(
 	share: number,
 ): (request: string) => boolean {
--- a/packages/observability/src/request-trace.ts
+++ b/packages/observability/src/request-trace.ts
@@ -1,8 +1,8 @@
 /**
- * The story of one request, put together from the JSON lines of many nodes:
- * what was decided about it and about the calls that were made for it, about
- * the same request under other ids, and what the nodes concerned had come to
- * believe shortly before.
+ * Collects the trace of one request from the JSON log lines of many nodes:
+ * decisions about the request and the calls that it caused, decisions about
+ * the same request under other ids, and notices that the deciding nodes logged
+ * shortly before.
  */
 import {z} from 'zod';
 
@@ -19,37 +19,37 @@
 		.optional(),
 });
 
-/** One line of a log. */
+/** One parsed line of a log. */
 export type LogEntry = z.output<typeof logEntrySchema>;
 
-/** What the lines tell. */
+/** The log entries that concern one request. */
 export type RequestTrace = {
 	request: string;
-	/** Decisions on the request and on the calls made for it, in order of time. */
+	/** Decisions about the request and the calls that it caused, sorted by time. */
 	decisions: LogEntry[];
-	/** Decisions on the same request under other ids, in order of time; see event 1607. */
+	/** Decisions about the same request under other ids, sorted by time; see event 1607. */
 	repeats: LogEntry[];
-	/** What the nodes that decided had come to believe before, in order of time. */
+	/** Notices of the deciding nodes shortly before and between the decisions, such as changes in the state of a peer or target, sorted by time. */
 	beliefs: LogEntry[];
-	/** Lines that these nodes report as dropped; with any, decisions may be missing. */
+	/** Number of lines that these nodes reported as dropped; above 0, decisions may be missing. */
 	linesDropped: number;
-	/** Lines that are no entries. */
+	/** Number of lines that are not valid entries. */
 	unreadable: number;
 };
 
-/** Takes the lines of any nodes in any order. */
+/** Reads lines of any nodes in any order. */
 export type RequestTraceReader = {
 	addLine(line: string): void;
 	finish(): RequestTrace;
 };
 
-/** Events from this number on are about a node and not about a request. */
+/** Codes from this one on belong to events about a node instead of a request. */
 const firstNoticeEvent = 2000;
-/** Milliseconds before the first decision in which a change of belief may have led to it: the longest time-out of a link or target is shorter. */
+/** Notices from this long before the first decision are included, in milliseconds. The longest timeout of a link or target is shorter, so an earlier change of state did not cause the decision. */
 const noticeWindow = 3000;
 const linesDroppedEvent = 'linesDropped';
 
-/** Creates a reader for the request with that id. */
+/** Creates a reader that collects the trace of the request with the given id. */
 export function createRequestTraceReader(request: string): RequestTraceReader {
 	const decisions: LogEntry[] = [];
 	const identified: LogEntry[] = [];
@@ -93,7 +93,7 @@
 }
 
 function parseEntry(line: string): LogEntry | undefined {
-	// Whoever collects lines may write the node or the time before each.
+	// Log collectors may prefix each line with the node or the time.
 	const start = line.indexOf('{');
 	if (start === -1) {
 		return undefined;
@@ -107,7 +107,7 @@
 	}
 }
 
-/** Where targets make the id of a call from that of its request, the call's begins with it and a dot. */
+/** Matches the request and its calls. Targets that derive the id of a call from its request use the id of the request, a dot and a suffix. */
 function concernsRequest(entry: LogEntry, request: string): boolean {
 	return (
 		entry.request === request ||
@@ -115,7 +115,7 @@
 	);
 }
 
-/** What repeats of a request under other ids share, where a line tells it. */
+/** Returns the identity that repeats of a request under other ids share, if the entry has one. */
 function getIdentity({details}: LogEntry): string | undefined {
 	return details?.identity === undefined ? undefined : String(details.identity);
 }
--- a/packages/shared/src/clock.ts
+++ b/packages/shared/src/clock.ts
@@ -1,30 +1,30 @@
 /**
- * Time as an interface, so that every decision and every wait can run on a
- * virtual clock. Durations are whole or fractional milliseconds; a wall time
- * is a standard `Date`.
+ * An abstraction of time, so that all decisions and waits can run on a virtual
+ * clock. Durations are whole or fractional milliseconds; wall-clock time is a
+ * standard `Date`.
  */
 
-/** A timer that has been set and can be taken back. */
+/** A scheduled timer. */
 export type Timer = {
-	/** Stops the timer; harmless when it has already fired. */
+	/** Cancels the timer; does nothing when it has already fired. */
 	cancel(): void;
 };
 
 /** The only source of time in this project. */
 export type Clock = {
 	/**
-	 * Monotonic milliseconds since an arbitrary origin. It never goes back,
-	 * and it advances while the process is frozen, so that a deadline is seen
-	 * to have passed after a wake.
+	 * Monotonic milliseconds since an arbitrary origin. The value never
+	 * decreases, and it advances while the process is suspended, so that
+	 * deadlines that passed meanwhile are detected on resume.
 	 */
 	now(): number;
-	/** The wall time, for logs and for what leaves the process. */
+	/** The wall-clock time, for logs and for data that leaves the process. */
 	date(): Date;
-	/** Calls back once after the delay in milliseconds. */
+	/** Calls the callback once after the delay in milliseconds. */
 	setTimer(delay: number, callback: () => void): Timer;
 };
 
-/** The clock of the operating system. Its timers keep a process alive only when asked to. */
+/** Creates a clock on the time of the operating system. Its timers keep the process alive only with `keepAlive`. */
 export function createSystemClock(options: {keepAlive?: boolean} = {}): Clock {
 	return {
 		now: () => performance.now(),
@@ -44,7 +44,7 @@
 	};
 }
 
-/** Waits on the clock; resolves early, without an error, when the signal aborts. */
+/** Resolves after the delay in milliseconds, or early, without an error, when the signal aborts. */
 export async function sleep(
 	clock: Clock,
 	delay: number,
--- a/packages/shared/src/document-issue.ts
+++ b/packages/shared/src/document-issue.ts
@@ -1,13 +1,13 @@
-/** Turns what zod reports into what an operator can act on. */
+/** Converts issues of zod into messages that an operator can act on. */
 import type {z} from 'zod';
 import type {DocumentPath, PlacePart} from './document-place.js';
 import {listKnownKeys} from './known-keys.js';
 import {findNearestKey} from './nearest-key.js';
 
-/** A fault within a document, before its place is known. */
+/** A fault within a document, not yet resolved to a line and column. */
 export type DocumentIssue = {
 	path: DocumentPath;
-	/** Whether it is about the key or about its value, the usual case. */
+	/** Whether the fault concerns the key or the value; the value by default. */
 	part?: PlacePart;
 	message: string;
 	/** What was expected, or the nearest known key. */
@@ -98,7 +98,7 @@
 };
 /* eslint-enable @typescript-eslint/naming-convention */
 
-/** What a schema's issue means, one entry a fault. */
+/** Converts an issue of zod into one entry per fault. */
 export function explainIssue(
 	issue: Issue,
 	schema: z.core.$ZodType,
@@ -141,12 +141,12 @@
 	};
 }
 
-/** Zod lists the values of a discriminator only in its message. */
+/** Extracts the allowed values of a discriminator from the message, because zod lists them nowhere else. */
 function describeBranches(message: string): string {
 	return message.replace(/^Invalid discriminator value\. E/u, 'e');
 }
 
-/** The branch that went deepest before it failed is the one that was meant. */
+/** Chooses the branch of a union whose issues are at the deepest path, because it most likely is the intended one. */
 function chooseBranch(branches: Issue[][]): Issue[] | undefined {
 	const depth = (branch: Issue[]) =>
 		Math.max(0, ...branch.map(({path}) => path.length));
--- a/packages/shared/src/document-place.ts
+++ b/packages/shared/src/document-place.ts
@@ -17,10 +17,10 @@
 /** Which part of an entry a finding is about. */
 export type PlacePart = 'key' | 'value';
 
-/** Gives the place of a path; of its nearest ancestor when it is absent. */
+/** Returns the place of a path, or of its nearest ancestor if the path does not exist. */
 export type PlaceFinder = (path: DocumentPath, part: PlacePart) => Place;
 
-/** Creates the finder of one parsed document. */
+/** Creates a place finder for one parsed document. */
 export function createPlaceFinder(
 	document: Document,
 	lines: LineCounter,
--- a/packages/shared/src/duration.ts
+++ b/packages/shared/src/duration.ts
@@ -1,4 +1,4 @@
-/** Durations as people write them: a number with a unit, `250ms`, `4s`, `2m`. */
+/** Durations written as a number with a unit: `250ms`, `4s`, `2m`. */
 import {z} from 'zod';
 import {readQuantity, formatQuantity, type Unit} from './quantity.js';
 
@@ -11,20 +11,20 @@
 
 const expected = 'expected a number with ms, s, m or h, such as 250ms or 4s';
 
-/** The milliseconds in a text such as `4s`; undefined when it isn't a duration. */
+/** Parses a text such as `4s` into milliseconds; returns undefined when it is not a duration. */
 export function parseDuration(text: string): number | undefined {
 	return readQuantity(text, durationUnits);
 }
 
-/** The shortest exact text for a number of milliseconds, such as `4s`. */
+/** Formats milliseconds as the shortest exact text, such as `4s`. */
 export function formatDuration(milliseconds: number): string {
 	return formatQuantity(milliseconds, durationUnits);
 }
 
-/** A duration in a document; its output is in milliseconds. */
+/** The schema of a duration in a document; its output is in milliseconds. */
 export const durationSchema = createDurationSchema();
 
-/** A duration within bounds, both given as text and both allowed. */
+/** Creates the schema of a duration within inclusive bounds, which are given as texts. */
 export function createDurationSchema(
 	bounds: {min?: string; max?: string} = {},
 ) {
--- a/packages/shared/src/fingerprint.ts
+++ b/packages/shared/src/fingerprint.ts
@@ -1,7 +1,7 @@
-/** What makes two attempts the same request. */
+/** Fingerprints requests, to detect that two attempts are the same request. */
 import {createHash} from 'node:crypto';
 
-/** The parts of a request that a repeat must not change. */
+/** The parts of a request that must be identical in a repeat. */
 export type FingerprintParts = {
 	caller: string;
 	method: string;
@@ -9,7 +9,7 @@
 	body: Uint8Array;
 };
 
-/** SHA-256 over the parts, in hexadecimal. */
+/** Returns the SHA-256 hash of the parts in hexadecimal. */
 export function fingerprintRequest(parts: FingerprintParts): string {
 	const {caller, method, path, body} = parts;
 	return createHash('sha256')
--- a/packages/shared/src/known-keys.ts
+++ b/packages/shared/src/known-keys.ts
@@ -1,4 +1,4 @@
-/** Reads from a zod schema which keys it knows at a path. */
+/** Lists the keys that a zod schema allows at a path. */
 import type {z} from 'zod';
 import type {DocumentPath} from './document-place.js';
 
@@ -9,7 +9,7 @@
 	[Each in Kind]?: (definition: Extract<Definition, {type: Each}>) => Output;
 };
 
-/** The keys that any branch of the schema knows at the path. */
+/** Returns the keys that any branch of the schema allows at the path. */
 export function listKnownKeys(
 	schema: z.core.$ZodType,
 	path: DocumentPath,
@@ -25,7 +25,7 @@
 	return [...new Set(keys)];
 }
 
-/** What a schema that only wraps others stands for. */
+/** Returns the schemas inside a wrapper schema, by its type. */
 const wrappers: Handlers<readonly z.core.$ZodType[]> = {
 	optional: ({innerType}) => [innerType],
 	nullable: ({innerType}) => [innerType],
@@ -39,7 +39,7 @@
 	union: ({options}) => options,
 };
 
-/** The object, list or record schemas behind defaults, unions and pipes. */
+/** Unwraps defaults, unions, pipes and other wrappers, down to the inner schemas. */
 function unwrap(schema: z.core.$ZodType): Schema[] {
 	const known = schema as Schema;
 	const inner = handle(wrappers, known._zod.def);
--- a/packages/shared/src/listening-probe.ts
+++ b/packages/shared/src/listening-probe.ts
@@ -1,10 +1,10 @@
-/** Finds out whether anybody listens at an address, by a connection that carries nothing. */
+/** Checks whether a process listens at an address, by opening a connection without sending data. */
 import {connect} from 'node:net';
 
-/** Milliseconds for a connection to the same machine. */
+/** Timeout of a connection to the same machine, in milliseconds. */
 const connectTimeout = 200;
 
-/** Only a refused connection says that nobody listens; without an answer it is not known, which counts as listening. */
+/** Reports `false` only if the connection is refused. Any other failure, such as a timeout, is inconclusive and counts as listening. */
 export function probeListening(
 	address: string,
 	onResult: (isListening: boolean) => void,
--- a/packages/shared/src/nearest-key.ts
+++ b/packages/shared/src/nearest-key.ts
@@ -1,8 +1,8 @@
-/** The known key that somebody most likely meant. */
+/** Finds the known key that a misspelled key most likely stands for. */
 
 /**
- * The known key with the smallest edit distance to what was written, when it
- * is near enough to be a slip; undefined otherwise.
+ * Returns the known key with the smallest edit distance to the written key if
+ * the distance is small enough for a typo; undefined otherwise.
  */
 export function findNearestKey(
 	written: string,
@@ -21,7 +21,7 @@
 	return nearest;
 }
 
-/** Levenshtein distance, one row at a time. */
+/** Computes the Levenshtein distance, one row at a time. */
 function measureDistance(left: string, right: string): number {
 	let above = Array.from({length: right.length + 1}, (_, index) => index);
 	for (let row = 1; row <= left.length; row++) {
--- a/packages/shared/src/quantity.ts
+++ b/packages/shared/src/quantity.ts
@@ -1,11 +1,11 @@
-/** Numbers with a unit, the common part of durations and sizes. */
+/** Numbers with a unit, shared by durations and sizes. */
 
-/** A unit and how many of the smallest unit it holds. */
+/** A unit and its factor relative to the smallest unit. */
 export type Unit = {suffix: string; factor: number};
 
 const quantityPattern = /^(?<amount>\d+(?:\.\d+)?)\s*(?<suffix>[A-Za-z]+)$/u;
 
-/** The amount in the smallest unit; undefined when the text isn't a quantity. */
+/** Parses the text into an amount of the smallest unit; returns undefined when it is not a quantity. */
 export function readQuantity(
 	text: string,
 	units: readonly Unit[],
@@ -15,7 +15,7 @@
 	return groups && unit ? Number(groups.amount) * unit.factor : undefined;
 }
 
-/** The text with the largest unit that leaves a whole number. */
+/** Formats the amount with the largest unit that gives a whole number. */
 export function formatQuantity(amount: number, units: readonly Unit[]): string {
 	const unit =
 		units.findLast(({factor}) => amount >= factor && amount % factor === 0) ??
--- a/packages/shared/src/random.ts
+++ b/packages/shared/src/random.ts
@@ -1,21 +1,21 @@
-/** Seeded randomness, passed in wherever a decision is drawn. */
+/** A seeded random number generator, passed to all code that makes random decisions. */
 import {uniformInt} from 'pure-rand/distribution/uniformInt';
 import {xoroshiro128plus} from 'pure-rand/generator/xoroshiro128plus';
 import type {RandomGenerator} from 'pure-rand/types/RandomGenerator';
 
-/** A source of random numbers; the same seed gives the same sequence. */
+/** A random number generator; the same seed gives the same sequence. */
 export type Random = {
-	/** A number from 0 up to, not including, 1. */
+	/** Returns a number from 0 (inclusive) to 1 (exclusive). */
 	fraction(): number;
-	/** A whole number from 0 up to, not including, the bound. */
+	/** Returns an integer from 0 (inclusive) to the bound (exclusive). */
 	below(bound: number): number;
-	/** A source of its own, independent of what this one gives afterwards. */
+	/** Creates a generator whose sequence is independent of later values of this one. */
 	fork(): Random;
 };
 
 const fractionSteps = 2 ** 32;
 
-/** Creates a source from a whole-number seed. */
+/** Creates a generator from an integer seed. */
 export function createRandom(seed: number): Random {
 	return fromGenerator(xoroshiro128plus(seed));
 }
--- a/packages/shared/src/sample.ts
+++ b/packages/shared/src/sample.ts
@@ -1,12 +1,12 @@
 /** Random choices among values. */
 import type {Random} from './random.js';
 
-/** So many of the values, each equally likely. */
+/** Returns `count` of the values, each chosen with equal probability. */
 export function sample<T>(values: T[], count: number, random: Random): T[] {
 	return shuffle(values, random).slice(0, count);
 }
 
-/** A shuffled copy (Fisher and Yates). */
+/** Returns a shuffled copy (Fisher–Yates). */
 export function shuffle<T>(values: T[], random: Random): T[] {
 	const copy = [...values];
 	for (let index = copy.length - 1; index > 0; index--) {
--- a/packages/shared/src/settings-reader.ts
+++ b/packages/shared/src/settings-reader.ts
@@ -1,7 +1,7 @@
 /**
- * Reads a YAML (or JSON, which is YAML) document against a zod schema and
- * reports every fault with its line and column. The node's settings and the
- * operators' intents both come in through here.
+ * Validates a YAML document (JSON is a subset) against a zod schema and reports
+ * all faults with line and column. Used for the settings of nodes and the
+ * intents of operators.
  */
 import {readFileSync} from 'node:fs';
 import {err, ok, type Result} from 'neverthrow';
@@ -11,25 +11,26 @@
 import {explainIssue, type DocumentIssue} from './document-issue.js';
 import type {Finding, Place} from './finding.js';
 
-/** What to read, and by which schema. */
+/** A document and its schema. */
 export type DocumentSource<Schema extends z.ZodType> = {
 	text: string;
-	/** The name that findings give as their file. */
+	/** The file name in findings. */
 	file: string;
 	schema: Schema;
 	/**
-	 * Faults between several keys, such as two listeners on one port. It sees
-	 * the raw value, so that its findings come together with the schema's.
+	 * Checks for conflicts between keys, such as two listeners on one port. It
+	 * receives the raw value, so that its findings are reported together with
+	 * those of the schema.
 	 */
 	check?: (value: unknown) => DocumentIssue[];
 };
 
 /**
- * Reads one document.
+ * Parses and validates one document.
  *
- * @returns the schema's output, or every finding in the order of the file;
- * a document that isn't YAML gives its syntax errors only, since what follows
- * a syntax error can't be trusted.
+ * @returns the output of the schema, or all findings in the order of the file.
+ * For invalid YAML only the syntax errors are returned, because the content
+ * after a syntax error is unreliable.
  */
 export function readDocument<Schema extends z.ZodType>(
 	source: DocumentSource<Schema>,
@@ -81,7 +82,7 @@
 		: err(findings);
 }
 
-/** Reads a document from a file; a file that can't be read is one finding. */
+/** Reads and validates a file; a file that cannot be read gives one finding. */
 export function readDocumentFile<Schema extends z.ZodType>(
 	source: Omit<DocumentSource<Schema>, 'text'>,
 ): Result<z.output<Schema>, Finding[]> {
@@ -90,7 +91,7 @@
 	);
 }
 
-/** Reads a file as text; the finding says why it can't be read. */
+/** Reads a file as text; on failure the finding contains the reason. */
 export function readTextFile(file: string): Result<string, Finding[]> {
 	try {
 		return ok(readFileSync(file, 'utf8'));
@@ -107,7 +108,7 @@
 	}
 }
 
-/** `limits.queueTime`, `services[0].name`. */
+/** Formats a path, such as `limits.queueTime` or `services[0].name`. */
 export function formatPath(path: DocumentPath): string {
 	let text = '';
 	for (const step of path) {
--- a/packages/shared/src/size.ts
+++ b/packages/shared/src/size.ts
@@ -1,4 +1,4 @@
-/** Sizes as people write them: `512B`, `16KB`, `32MB`, powers of 1024. */
+/** Sizes written as a number with a unit: `512B`, `16KB`, `32MB`; units are powers of 1024. */
 import {z} from 'zod';
 import {readQuantity, formatQuantity, type Unit} from './quantity.js';
 
@@ -11,18 +11,18 @@
 
 const expected = 'expected a number with B, KB, MB or GB, such as 32MB';
 
-/** The bytes in a text such as `32MB`; undefined when it isn't a size. */
+/** Parses a text such as `32MB` into bytes; returns undefined when it is not a size. */
 export function parseSize(text: string): number | undefined {
 	const bytes = readQuantity(text, sizeUnits);
 	return bytes === undefined ? undefined : Math.round(bytes);
 }
 
-/** The shortest exact text for a number of bytes, such as `32MB`. */
+/** Formats bytes as the shortest exact text, such as `32MB`. */
 export function formatSize(bytes: number): string {
 	return formatQuantity(bytes, sizeUnits);
 }
 
-/** A size in a document, above zero; its output is in bytes. */
+/** The schema of a size above zero in a document; its output is in bytes. */
 export const sizeSchema = z.unknown().transform((value, context) => {
 	const parsed = typeof value === 'string' ? parseSize(value) : undefined;
 	if (parsed !== undefined && parsed > 0) {
--- a/packages/shared/src/stream.ts
+++ b/packages/shared/src/stream.ts
@@ -1,18 +1,18 @@
-/** The bridge between callbacks and `most` streams, on the project's clock. */
+/** Adapters between callbacks and `most` streams, on the clock of this project. */
 import {Stream, type Sink, type Scheduler} from 'most';
 import type {Clock, Timer} from './clock.js';
 
-/** A stream together with the means to push values into it. */
+/** A stream and the functions that push values into it. */
 export type Subject<T> = {
-	/** Each observer sees the values pushed after it began to observe. */
+	/** Observers receive the values that are pushed after they subscribe. */
 	stream: Stream<T>;
-	/** Hands the value to every observer before it returns. */
+	/** Delivers the value synchronously to all observers. */
 	push(value: T): void;
-	/** Ends the stream for every observer. */
+	/** Ends the stream for all observers. */
 	end(): void;
 };
 
-/** Creates a stream whose values are pushed from outside. */
+/** Creates a stream whose values are pushed by the caller. */
 export function createSubject<T>(): Subject<T> {
 	const sinks = new Map<Sink<T>, Scheduler>();
 	const source = {
@@ -42,7 +42,7 @@
 	};
 }
 
-/** A tick every period, in milliseconds, on the given clock, until the signal aborts. */
+/** Emits the time of the clock at each interval, in milliseconds, until the signal aborts. */
 export function createTicks(
 	clock: Clock,
 	interval: number,
--- a/packages/shared/src/virtual-clock.ts
+++ b/packages/shared/src/virtual-clock.ts
@@ -1,7 +1,7 @@
 /**
- * A clock that moves only when told to, for tests, fault schedules and the
+ * A clock that advances only on request, for tests, fault schedules and the
  * experiment. Timers that are due at the same instant fire in the order in
- * which they were set, so a run is a function of its seed.
+ * which they were set, so a run depends only on its seed.
  */
 import type {Clock, Timer} from './clock.js';
 
@@ -11,15 +11,15 @@
 	callback: (() => void) | undefined;
 };
 
-/** A clock under the caller's control. */
+/** A clock that is advanced by its user. */
 export type VirtualClock = Clock & {
-	/** Fires the next timer and moves to its instant; false when none is set. */
+	/** Advances to the next timer and fires it; returns false when none is set. */
 	step(): boolean;
-	/** Fires everything due up to and including the instant, then stands there. */
+	/** Advances to the instant and fires all timers that are due up to and including it. */
 	advanceTo(instant: number): void;
-	/** The same, letting promise callbacks run between timers. */
+	/** Like `advanceTo`, but runs promise callbacks between timers. */
 	runTo(instant: number): Promise<void>;
-	/** How many timers are set. */
+	/** The number of timers that are set. */
 	pending(): number;
 };
 
@@ -71,7 +71,7 @@
 		step: () => step(Number.POSITIVE_INFINITY),
 		advanceTo(target) {
 			while (step(target)) {
-				// Everything due fires before the clock stands still.
+				// Each call fires one timer that is due.
 			}
 
 			instant = Math.max(instant, target);
@@ -79,7 +79,7 @@
 		async runTo(target) {
 			await settle();
 			while (step(target)) {
-				// eslint-disable-next-line no-await-in-loop -- timers fire one after another, and what they woke runs first.
+				// eslint-disable-next-line no-await-in-loop -- timers fire one after another, and the promise callbacks of one run before the next.
 				await settle();
 			}
 
@@ -89,7 +89,7 @@
 	};
 }
 
-/** Lets every promise callback that is ready run. */
+/** Runs all pending promise callbacks. */
 async function settle(): Promise<void> {
 	await new Promise<void>((resolve) => {
 		setImmediate(resolve);
