--- a/packages/command/__tests__/explain-command.spec.ts
+++ b/packages/command/__tests__/explain-command.spec.ts
@@ -40,7 +40,7 @@
 		rmSync(directory, {recursive: true});
 	});
 
-	it('tells the story of a request without asking a node', async () => {
+	it('shows the trace of a request without calling a node', async () => {
 		const {code, output} = await run(['explain', 'abc', '--logs', file]);
 		expect(code).to.equal(0);
 		expect(output).to.contain('answered 503 by this node: noTarget');
@@ -48,13 +48,13 @@
 		expect(output).to.contain('1 lines could not be read');
 	});
 
-	it('says so when no line is about the request', async () => {
+	it('reports that no line is about the request', async () => {
 		const {code, output} = await run(['explain', 'other', '--logs', file]);
 		expect(code).to.equal(1);
 		expect(output).to.contain('no line about request other');
 	});
 
-	it('names the file that it can not read', async () => {
+	it('reports the name of a file that it cannot read', async () => {
 		const missing = path.join(directory, 'missing');
 		const {code, errors} = await run(['explain', 'abc', '--logs', missing]);
 		expect(code).to.equal(2);
@@ -74,7 +74,7 @@
 		expect(output).to.contain('waiting=4');
 	});
 
-	it('ends with 1 for a request that the node does not remember', async () => {
+	it('exits with 1 for a request that the node does not know', async () => {
 		const {code, errors} = await runAgainst({}, ['explain', 'r9']);
 		expect(code).to.equal(1);
 		expect(errors).to.contain('not known (404)');
--- a/packages/command/__tests__/operator-commands.spec.ts
+++ b/packages/command/__tests__/operator-commands.spec.ts
@@ -118,7 +118,7 @@
 			expect(JSON.parse(output)).to.deep.equal(plan);
 		});
 
-		it('prints every finding with its place and ends with 1', async () => {
+		it('prints every finding with its place and exits with 1', async () => {
 			const findings = [
 				{
 					place: {file: 'orders.yaml', line: 2, column: 3},
@@ -143,7 +143,7 @@
 			);
 		});
 
-		it('says that a file cannot be read', async () => {
+		it('reports that a file cannot be read', async () => {
 			const {code, errors} = await run(['plan', 'nowhere.yaml']);
 			expect(code).to.equal(1);
 			expect(errors).to.contain(
@@ -166,14 +166,14 @@
 			repeated: false,
 		};
 
-		it('says where the version is in force and where not', async () => {
+		it('shows at which nodes the version is in force and at which not', async () => {
 			const {code, output} = await confirmWith({status: 200, body: accepted});
 			expect(code).to.equal(0);
 			expect(output).to.equal(
 				[
 					'plan p1 is accepted as version 5',
 					'in force at 1 of 2 nodes',
-					'not yet at orders-2 in accra-b: version 4, suspect, heard from 9 s ago',
+					'not yet at orders-2 in accra-b: version 4, suspect, last seen 9 s ago',
 					'',
 				].join('\n'),
 			);
@@ -190,7 +190,7 @@
 			});
 		});
 
-		it('tells the loser of a race what it lost to', async () => {
+		it('reports the plan that was confirmed first', async () => {
 			// Two operators plan against version 4, and the other one confirms
 			// first. A silent overwrite would revert that change unnoticed.
 			const {code, errors} = await confirmWith({
@@ -208,7 +208,7 @@
 			expect(errors).to.contain('based on version 4, now 5 by plan p2 of kofi');
 		});
 
-		it('ends with 1 when nothing was written', async () => {
+		it('exits with 1 when nothing was written', async () => {
 			const {code, errors} = await confirmWith({
 				status: 503,
 				body: {result: 'unavailable', plan: 'p1', detail: 'no connection'},
@@ -217,7 +217,7 @@
 			expect(errors).to.contain('nothing was written: no connection');
 		});
 
-		it('ends with 3 when the node does not know', async () => {
+		it('exits with 3 when the outcome is unknown to the node', async () => {
 			const {code, errors} = await confirmWith({
 				status: 503,
 				body: {
@@ -231,7 +231,7 @@
 			expect(errors).to.contain('to settle it: egretspoke confirm p1');
 		});
 
-		it('ends with 3 when the answer of the node is lost', async () => {
+		it('exits with 3 when the answer of the node is lost', async () => {
 			// The node fails between writing the plan and answering. If the
 			// command reported a failure, the operator would plan the change again.
 			const {code, errors} = await confirmWith('cut');
@@ -239,7 +239,7 @@
 			expect(errors).to.contain('it may have been accepted');
 		});
 
-		it('ends with 1 when no node answers', async () => {
+		it('exits with 1 when no node answers', async () => {
 			const admin = await startFakeAdmin({});
 			await admin.close();
 			const {code, errors} = await run([
@@ -256,7 +256,7 @@
 	describe('status', () => {
 		const answers = {'GET /v1/status': {status: 200, body: status}};
 
-		it('shows the node and the version at every other', async () => {
+		it('shows the node and the version at every node', async () => {
 			const {code, output} = await runAgainst(answers, ['status']);
 			expect(code).to.equal(0);
 			expect(output).to.contain('configuration  version 5, from the platform');
@@ -295,7 +295,7 @@
 	});
 
 	describe('leave', () => {
-		it('asks the node to leave', async () => {
+		it('calls the node', async () => {
 			const {code, seen} = await runAgainst(
 				{'POST /v1/leave': {status: 202, body: {result: 'leaving'}}},
 				['leave'],
@@ -304,13 +304,13 @@
 			expect(seen.at(-1)?.call).to.equal('POST /v1/leave');
 		});
 
-		it('ends with 3 when the answer is lost', async () => {
+		it('exits with 3 when the answer is lost', async () => {
 			const {code} = await runAgainst({'POST /v1/leave': 'cut'}, ['leave']);
 			expect(code).to.equal(3);
 		});
 	});
 
-	it('prefer the node of the option to that of the environment', async () => {
+	it('prefer the node of the option over that of the environment', async () => {
 		const admin = await startFakeAdmin({
 			'GET /v1/targets': {status: 200, body: []},
 		});
@@ -350,7 +350,7 @@
 		});
 	});
 
-	it('refuses an answer that it cannot read', async () => {
+	it('report an invalid answer', async () => {
 		const {code, errors} = await runAgainst(
 			{'GET /v1/status': {status: 200, body: {node: 1}}},
 			['status'],
--- a/packages/command/__tests__/program.spec.ts
+++ b/packages/command/__tests__/program.spec.ts
@@ -51,7 +51,7 @@
 		});
 
 		for (const name of names) {
-			it(`of ${name} has an example`, async () => {
+			it(`has an example for ${name}`, async () => {
 				const {code, output} = await run([name, '--help']);
 				expect(code).to.equal(0);
 				expect(output).to.contain(`Example:\n  egretspoke ${name}`);
@@ -68,7 +68,7 @@
 			['status', '--timeout', '4'],
 			['validate', 'x', '--kind', 'nonsense'],
 		]) {
-			it(`end with 2: "${argumentList.join(' ')}"`, async () => {
+			it(`exits with 2 for "${argumentList.join(' ')}"`, async () => {
 				const {code, errors} = await run(argumentList);
 				expect(code).to.equal(2);
 				expect(errors).not.to.equal('');
@@ -76,7 +76,7 @@
 		}
 	});
 
-	it('prints colour only on a terminal', async () => {
+	it('prints colours only on a terminal', async () => {
 		const admin = await startFakeAdmin({
 			'GET /v1/targets': {
 				status: 200,
@@ -139,7 +139,7 @@
 			).to.have.length(3);
 		});
 
-		it('says what it read a valid file as', async () => {
+		it('reports the detected kind of a valid file', async () => {
 			const {code, output} = await validate(
 				'node: a\ndataCentre: b\nplatform: {address: "http://127.0.0.1:1"}',
 			);
@@ -151,7 +151,7 @@
 	describe('validate on an intent', () => {
 		const validate = useValidation('intent.yaml');
 
-		it('knows it by its keys, also in a list', async () => {
+		it('detects it by its keys, also in a list', async () => {
 			for (const text of ['service: orders', '- service: orders']) {
 				// eslint-disable-next-line no-await-in-loop -- the files have the same name.
 				const {code, output} = await validate(text);
@@ -172,7 +172,7 @@
 			expect(errors).to.contain('2 findings');
 		});
 
-		it('reads as the kind that is asked for', async () => {
+		it('reads the file as the kind of the option', async () => {
 			const {code} = await validate('service: orders', '--kind', 'settings');
 			expect(code).to.equal(1);
 		});
@@ -204,7 +204,7 @@
 			};
 		};
 
-		it('shows from the first second on and erases itself', async () => {
+		it('shows progress from the first second on and erases it', async () => {
 			const {shown, clock, waiting, finish} = recordProgress(true);
 			clock.advanceTo(999);
 			expect(shown).to.deep.equal([]);
@@ -219,7 +219,7 @@
 			expect(clock.pending()).to.equal(0);
 		});
 
-		it('stays silent where nobody watches', async () => {
+		it('prints nothing when there is no terminal', async () => {
 			const {shown, clock, waiting, finish} = recordProgress(false);
 			clock.advanceTo(5000);
 			finish();
--- a/packages/command/src/command-host.ts
+++ b/packages/command/src/command-host.ts
@@ -40,17 +40,17 @@
 		.addOption(
 			new Option(
 				'--node <address>',
-				`the node's admin listener; else ${environmentNames.node}, else ${defaultNode}`,
+				`address of the admin listener; defaults to ${environmentNames.node}, else ${defaultNode}`,
 			),
 		)
 		.addOption(
 			new Option(
 				'--secret-file <file>',
-				`a file that holds the operator secret; or the secret itself in ${environmentNames.secret}`,
+				`file with the operator secret; defaults to the secret in ${environmentNames.secret}`,
 			),
 		)
 		.addOption(
-			new Option('--timeout <duration>', 'how long to wait for an answer')
+			new Option('--timeout <duration>', 'maximum time to wait for an answer')
 				.argParser(readDurationArgument)
 				.default(defaultTimeout, '10s'),
 		);
--- a/packages/command/src/confirm-command.ts
+++ b/packages/command/src/confirm-command.ts
@@ -36,7 +36,7 @@
 		.argument('<plan>', 'the id that `egretspoke plan` printed')
 		.option(
 			'--wait <duration>',
-			'how long to watch until it is in force everywhere',
+			'how long to wait until it is in force everywhere',
 			readDurationArgument,
 			defaultWait,
 		)
@@ -133,7 +133,7 @@
 
 const describers: Describers = {
 	accepted: (answer, inForce) => [
-		`plan ${answer.plan} is accepted as version ${answer.version}${answer.repeated ? ', as it was before' : ''}`,
+		`plan ${answer.plan} is accepted as version ${answer.version}${answer.repeated ? ', which was accepted before' : ''}`,
 		...describeInForce(answer, inForce),
 	],
 	conflict: ({plan, baseVersion, currentVersion, byPlan, byAuthor}) => [
@@ -184,7 +184,7 @@
 		`in force at ${inForce.length - missing.length} of ${inForce.length} nodes`,
 		...missing.map(
 			({node, dataCentre, state, heardSecondsAgo, ...row}) =>
-				`not yet at ${node} in ${dataCentre}: version ${row.version}, ${state}, heard from ${Math.round(heardSecondsAgo)} s ago`,
+				`not yet at ${node} in ${dataCentre}: version ${row.version}, ${state}, last seen ${Math.round(heardSecondsAgo)} s ago`,
 		),
 	];
 }
--- a/packages/command/src/demo-command.ts
+++ b/packages/command/src/demo-command.ts
@@ -7,7 +7,9 @@
 export function addDemoCommand(program: Command, host: CommandHost): void {
 	const command = program
 		.command('demo')
-		.description('serve one request end to end on stand-ins and show its way')
+		.description(
+			'serve one request end to end with stand-ins and show each step',
+		)
 		.addHelpText('after', '\nExample:\n  egretspoke demo');
 	addJsonOption(command).action(async (options: {json?: boolean}) => {
 		const {runDemo} = await import('./demo.js');
--- a/packages/command/src/demo-processes.ts
+++ b/packages/command/src/demo-processes.ts
@@ -140,7 +140,7 @@
 	const platformAddress = await platform.waitFor((line) =>
 		standIns.readText(line, 'address'),
 	);
-	print(`  the platform's stand-in listens on ${platformAddress}`);
+	print(`  the stand-in for the platform listens on ${platformAddress}`);
 	const nodes = await Promise.all(
 		machines.map(async (machine) => startMachine(machine, platformAddress)),
 	);
--- a/packages/command/src/demo.ts
+++ b/packages/command/src/demo.ts
@@ -97,12 +97,12 @@
 		print('Starting: platform stand-in, 3 targets, 3 nodes, each a process.');
 		const cluster = await startCluster(standIns, machines, print);
 		await runSteps(cluster);
-		const unclean = await cluster.stop();
+		const uncleanExits = await cluster.stop();
 		assertStep(
-			unclean <= 1,
+			uncleanExits <= 1,
 			'every node but the killed one drains and exits 0',
 		);
-		print('Done: every step did what it shows.');
+		print('Done: every step succeeded.');
 		return 0;
 	} catch (error) {
 		const detail = error instanceof DemoFailure ? error.message : String(error);
@@ -116,14 +116,14 @@
 	await confirmIntents(cluster, entry);
 	await waitInForce(cluster, 1);
 
-	cluster.print('A client asks orders-and-payments, which asks loft-queues:');
+	cluster.print('A client calls orders-and-payments, which calls loft-queues:');
 	const first = await sendRequest(entry, 'GET', '/orders/17');
 	printAnswer(cluster, first);
 	assertStep(first.status === 200, 'the request is served');
 	const ranAt = await printDecisions(cluster, first.request);
 
 	cluster.print(
-		'A payment is not idempotent: it needs a key, its home and an expiry.',
+		'A payment is not idempotent: it needs an idempotency key, a home and an expiry.',
 	);
 	const key = {'idempotency-key': 'twine-2041'};
 	const withoutHome = await sendRequest(entry, 'POST', '/payments', key);
@@ -151,14 +151,14 @@
 
 	const chosen = cluster.nodes.find(({node}) => node === ranAt);
 	cluster.print(
-		`Killing ${ranAt}, which served loft-queues, and asking again:`,
+		`Killing ${ranAt}, which served loft-queues, and sending another request:`,
 	);
 	await chosen?.process.kill();
 	const second = await sendRequest(entry, 'GET', '/orders/18');
 	printAnswer(cluster, second);
 	assertStep(
 		second.status === 200 || second.outcome !== 'answered',
-		'the request is served or refused truthfully',
+		'the request is served, or its outcome is not reported as answered',
 	);
 	await printDecisions(cluster, second.request);
 }
--- a/packages/command/src/explain-command.ts
+++ b/packages/command/src/explain-command.ts
@@ -21,18 +21,18 @@
 export function addExplainCommand(program: Command, host: CommandHost): void {
 	const command = program
 		.command('explain')
-		.description('show the decisions that a node took about a request, and why')
+		.description('show the decisions that a node made about a request, and why')
 		.argument(
 			'<request>',
-			"the Egretspoke-Request header of its answer, or with --logs the caller's id",
+			'the Egretspoke-Request header of its answer, or with --logs the request id of the caller',
 		)
 		.option(
 			'--logs <files...>',
-			'read the JSON lines of these files instead of asking a node; - is standard input',
+			'read the JSON lines of these files instead of calling a node; - is standard input',
 		)
 		.addHelpText(
 			'after',
-			'\nA node knows its own decisions only: ask the entry node first, then the one it routed to.\n\nExample:\n  egretspoke explain 3f9a0c --node 10.0.0.1:7402\n  egretspoke explain 9c41d07be2a35f68 --logs logs/*.jsonl',
+			'\nA node stores only its own decisions: query the entry node first, then the node that it routed to.\n\nExample:\n  egretspoke explain 3f9a0c --node 10.0.0.1:7402\n  egretspoke explain 9c41d07be2a35f68 --logs logs/*.jsonl',
 		);
 	addJsonOption(addNodeOptions(command)).action(
 		async (request: string, options: ExplainOptions) => {
--- a/packages/command/src/leave-command.ts
+++ b/packages/command/src/leave-command.ts
@@ -18,7 +18,7 @@
 	const command = program
 		.command('leave')
 		.description(
-			'take the target beside a node out of service; what is in flight finishes',
+			'take the target beside a node out of service; requests in flight finish',
 		)
 		.addHelpText(
 			'after',
@@ -37,7 +37,7 @@
 	const client = createNodeClient(host, options, command);
 	const answer = await withProgress(
 		host,
-		'asking the node',
+		'calling the node',
 		client.call({
 			method: 'POST',
 			path: '/v1/leave',
@@ -49,7 +49,7 @@
 		reportFault(
 			host,
 			answer.error,
-			'it may be leaving; to settle it: egretspoke leave, which may be repeated',
+			'it may be leaving; to settle it: egretspoke leave, which is safe to repeat',
 		);
 		return;
 	}
--- a/packages/command/src/node-query.ts
+++ b/packages/command/src/node-query.ts
@@ -32,7 +32,7 @@
 	const client = createNodeClient(host, options, command);
 	const answer = await withProgress(
 		host,
-		'asking the node',
+		'calling the node',
 		client.call({
 			method: 'GET',
 			path: query.path,
--- a/packages/command/src/plan-command.ts
+++ b/packages/command/src/plan-command.ts
@@ -33,7 +33,10 @@
 		.command('plan')
 		.description('show what an intent would change; nothing takes effect yet')
 		.argument('<file>', 'the intent, YAML or JSON')
-		.option('--author <name>', 'who plans; the user of this machine otherwise')
+		.option(
+			'--author <name>',
+			'the author of the plan; defaults to the user of this machine',
+		)
 		.addHelpText('after', '\nExample:\n  egretspoke plan orders.yaml');
 	addJsonOption(addNodeOptions(command)).action(
 		async (file: string, options: PlanOptions) =>
--- a/packages/command/src/program.ts
+++ b/packages/command/src/program.ts
@@ -28,8 +28,8 @@
 Exit codes:
   0  done
   1  refused, with findings or the reason; nothing took effect
-  2  the command line can't be understood
-  3  outcome unknown; the output says which command settles it
+  2  the command line is invalid
+  3  outcome unknown; the output names the command that settles it
 
 Example:
   egretspoke plan orders.yaml && egretspoke confirm 7c1f0a`;
@@ -67,7 +67,9 @@
 	const {terminal} = host;
 	const program = new Command('egretspoke');
 	program
-		.description('plan, confirm and watch the overload control of a call graph')
+		.description(
+			'plan, confirm and inspect the overload control of a call graph',
+		)
 		.version(version)
 		.addHelpText('after', exitCodeHelp)
 		.exitOverride()
--- a/packages/command/src/request-trace-output.ts
+++ b/packages/command/src/request-trace-output.ts
@@ -58,7 +58,7 @@
 	const {linesDropped, unreadable} = requestTrace;
 	if (decisions.length === 0) {
 		terminal.write(
-			`no line about request ${request}: its target answered it at the first try, or the log of its entry node is missing\n`,
+			`no line about request ${request}: its target answered the first attempt, or the log of its entry node is missing\n`,
 		);
 	} else {
 		terminal.write(`request ${request}\n`);
@@ -71,7 +71,7 @@
 	}
 
 	if (beliefs.length > 0) {
-		terminal.write('\nwhat these nodes had come to believe before\n');
+		terminal.write('\nrelated notices of these nodes\n');
 		terminal.write(renderTable(beliefs, entryColumns, terminal.colour));
 	}
 
--- a/packages/command/src/status-command.ts
+++ b/packages/command/src/status-command.ts
@@ -15,7 +15,9 @@
 export function addStatusCommand(program: Command, host: CommandHost): void {
 	const command = program
 		.command('status')
-		.description('show a node, and the version in force at every node it knows')
+		.description(
+			'show the state of a node, and the version in force at every node that it knows',
+		)
 		.addHelpText(
 			'after',
 			'\nExample:\n  egretspoke status --node 10.0.0.1:7402 --json',
@@ -49,7 +51,7 @@
 }
 
 const sources: Record<NodeStatus['configuration']['source'], string> = {
-	defaults: 'the safe defaults: no accepted one can be had so far',
+	defaults: 'the safe defaults: no accepted configuration is available yet',
 	platform: 'from the platform',
 	peer: 'from a peer',
 };
@@ -60,7 +62,7 @@
 	{heading: 'STATE', cell: ({state}) => state},
 	{heading: 'VERSION', cell: ({version}) => version},
 	{
-		heading: 'HEARD',
+		heading: 'LAST SEEN',
 		cell: ({heardSecondsAgo}) => `${Math.round(heardSecondsAgo)} s ago`,
 	},
 ];
--- a/packages/command/src/targets-command.ts
+++ b/packages/command/src/targets-command.ts
@@ -52,7 +52,7 @@
 	{heading: 'CALLERS', cell: ({callerAddress}) => callerAddress},
 	{heading: 'VERSION', cell: ({configurationVersion}) => configurationVersion},
 	{
-		heading: 'HEARD',
+		heading: 'LAST SEEN',
 		cell: ({heardSecondsAgo}) => `${Math.round(heardSecondsAgo)} s ago`,
 	},
 ];
--- a/packages/command/src/validate-command.ts
+++ b/packages/command/src/validate-command.ts
@@ -52,7 +52,7 @@
 		.addOption(
 			new Option(
 				'--kind <kind>',
-				'what the file is; its keys tell otherwise',
+				'the kind of the file; detected from its keys by default',
 			).choices(kinds),
 		)
 		.addHelpText('after', '\nExample:\n  egretspoke validate node.yaml');
--- a/packages/observability/__tests__/catalogue-pages.spec.ts
+++ b/packages/observability/__tests__/catalogue-pages.spec.ts
@@ -24,13 +24,13 @@
 		}
 	});
 
-	it('are what the tables give; run `npm run --silent docs` when this fails', () => {
+	it('match the tables; run `npm run --silent docs` when this fails', () => {
 		for (const {file, text} of renderCataloguePages()) {
 			expect(readPage(file)).to.equal(text);
 		}
 	});
 
-	it("hold every metric and event that the operators' page names", () => {
+	it('contain every metric and event that OPERATING.md mentions', () => {
 		const page = readPage('OPERATING.md');
 		const names = Object.values(metricDefinitions).map(({name}) => name);
 		for (const [name] of page.matchAll(/(?:egretspoke|process)_\w+/gu)) {
@@ -45,7 +45,7 @@
 		}
 	});
 
-	it('give no number twice', () => {
+	it('use each number only once', () => {
 		const codes = listEvents().map(({code}) => code);
 		expect(new Set(codes).size).to.equal(codes.length);
 	});
--- a/packages/observability/__tests__/decision-history.spec.ts
+++ b/packages/observability/__tests__/decision-history.spec.ts
@@ -2,7 +2,7 @@
 import {createDecisionHistory} from '../src/index.js';
 
 describe('decision history', () => {
-	it('explains a request, the oldest decision first', () => {
+	it('returns the decisions about a request, oldest first', () => {
 		const history = createDecisionHistory();
 		history.record({
 			request: 'r1',
@@ -39,7 +39,7 @@
 		]);
 	});
 
-	it('keeps a refusal while ordinary decisions push each other out', () => {
+	it('retains a refusal while ordinary decisions evict each other', () => {
 		// An operator looks up a refusal a minute later. On a busy node thousands
 		// of ordinary decisions have been recorded since; in one shared buffer
 		// they would have evicted the refusal.
@@ -59,7 +59,7 @@
 		expect(history.explain('r91')).to.have.length(1);
 	});
 
-	it('cuts a long reason', () => {
+	it('truncates a long reason', () => {
 		const history = createDecisionHistory();
 		history.record({
 			request: 'r',
--- a/packages/observability/__tests__/event-log.spec.ts
+++ b/packages/observability/__tests__/event-log.spec.ts
@@ -5,7 +5,7 @@
 const startLog = (options: Partial<EventLogOptions> = {}) => {
 	const clock = createVirtualClock();
 	const written: string[] = [];
-	const gate = {isReady: true};
+	const output = {isReady: true};
 	const log = createEventLog({
 		node: 'orders-1',
 		level: 'info',
@@ -13,13 +13,13 @@
 		sample: 1,
 		clock,
 		sink: {
-			isReady: () => gate.isReady,
+			isReady: () => output.isReady,
 			write: (batch) => written.push(batch),
 		},
 		...options,
 	});
 	const lines = () => written.join('').split('\n').slice(0, -1);
-	return {clock, written, gate, log, lines};
+	return {clock, written, output, log, lines};
 };
 
 describe('event log', () => {
@@ -51,7 +51,7 @@
 		});
 	});
 
-	it('keeps back what is below the level', () => {
+	it('omits events below the level', () => {
 		const {log, lines} = startLog({level: 'warn'});
 		expect(log.isEnabled('routed', 'r1')).to.equal(false);
 		log.record('routed', {request: 'r1', reason: 'x'});
@@ -61,7 +61,7 @@
 		expect(lines()[0]).to.contain('WARN 2103 peerLost');
 	});
 
-	it('formats nothing on the path: lines come with the timer, a batch at a time', () => {
+	it('formats no line on the request path: a timer writes the lines in batches', () => {
 		const {clock, written, log} = startLog({batch: 2, delay: 10});
 		for (const request of ['a', 'b', 'c']) {
 			log.record('admitted', {request, reason: 'free slot'});
@@ -77,7 +77,7 @@
 		expect(clock.pending()).to.equal(0);
 	});
 
-	it('samples decisions by request, the same on every node, and never notices', () => {
+	it('samples decisions by request, identically on every node, but not notices', () => {
 		const nodes = ['a', 'b'].map((node) =>
 			startLog({sample: 0.25, node, capacity: 10_000}),
 		);
@@ -95,12 +95,12 @@
 		expect(logged[0]!.at(-1)).to.equal(undefined);
 	});
 
-	it('drops and counts when the output stands still, and keeps room for notices', () => {
+	it('drops and counts lines when the output is blocked, and reserves capacity for notices', () => {
 		// The consumer of the log has stopped reading. Without a bound the lines
 		// would fill the memory until the process dies; with it, lines are
 		// dropped, and their number is logged once the consumer reads again.
-		const {clock, gate, log, lines} = startLog({capacity: 100});
-		gate.isReady = false;
+		const {clock, output, log, lines} = startLog({capacity: 100});
+		output.isReady = false;
 		for (let index = 0; index < 150; index++) {
 			log.record('admitted', {request: `r${index}`, reason: 'x'});
 		}
@@ -109,7 +109,7 @@
 		expect(log.dropped()).to.equal(60);
 		clock.advanceTo(1000);
 		expect(lines()).to.have.length(0);
-		gate.isReady = true;
+		output.isReady = true;
 		clock.advanceTo(2000);
 		expect(lines()).to.have.length(92);
 		expect(lines().at(-2)).to.contain('2103 peerLost');
@@ -117,7 +117,7 @@
 		expect(lines().at(-1)).to.contain('60 log lines dropped');
 	});
 
-	it('lets no request id forge a line', () => {
+	it('escapes line breaks in request ids', () => {
 		// A caller puts a line break and a forged line into its request id; the
 		// log would then show an event that never happened.
 		const {log, lines} = startLog();
@@ -130,7 +130,7 @@
 		expect(lines()).to.have.length(1);
 	});
 
-	it('stays apart from another log of the same process', () => {
+	it('is independent of another log of the same process', () => {
 		const quiet = startLog({level: 'error'});
 		const loud = startLog({level: 'info'});
 		quiet.log.record('drained', {details: {cut: 0}});
--- a/packages/observability/__tests__/metrics.spec.ts
+++ b/packages/observability/__tests__/metrics.spec.ts
@@ -34,7 +34,7 @@
 };
 
 describe('metrics', () => {
-	it('shows what was recorded and what is read', async () => {
+	it('renders recorded values and readings', async () => {
 		const metrics = createMetrics(() => readings);
 		metrics.requestEnded({
 			role: 'entry',
@@ -68,7 +68,7 @@
 		}
 	});
 
-	it('has every metric of the table, under the names of Prometheus', async () => {
+	it('renders every metric of the table, named by the rules of Prometheus', async () => {
 		const ownInterface = await createMetrics(() => readings).render();
 		const mesh = await createMeshMetrics().render(meshReadings, 0);
 		for (const {name, type} of Object.values(metricDefinitions)) {
@@ -79,14 +79,14 @@
 		}
 	});
 
-	it('keeps two nodes of one process apart', async () => {
+	it('separates two nodes of one process', async () => {
 		const first = createMetrics(() => readings);
 		const second = createMetrics(() => readings);
 		first.lateAnswer();
 		expect(await second.render()).to.contain('late_answers_total 0');
 	});
 
-	it('bounds the series that a varying label can make', async () => {
+	it('limits the number of series that a varying label can create', async () => {
 		// Each request of a caller is malformed in a new way. Without a limit each
 		// kind creates a series that is never freed, and the memory of the node
 		// grows until the process dies.
--- a/packages/observability/__tests__/request-trace.spec.ts
+++ b/packages/observability/__tests__/request-trace.spec.ts
@@ -23,7 +23,7 @@
 };
 
 describe('the trace of a request', () => {
-	it('joins the lines of all nodes in order of time, its calls included', () => {
+	it('sorts the lines of all nodes by time, calls included', () => {
 		const trace = readTrace([
 			line({at: '2026-01-01T00:00:11.000Z', node: 'orders-2'}),
 			line({request: 'abcdef'}),
@@ -37,7 +37,7 @@
 		]);
 	});
 
-	it('adds what the deciding nodes had come to believe just before', () => {
+	it('adds the notices that the deciding nodes logged shortly before', () => {
 		const notice = {event: 2103, name: 'peerLost', request: undefined};
 		const trace = readTrace([
 			line({}),
@@ -48,7 +48,7 @@
 		expect(trace.beliefs.map(({message}) => message)).to.deep.equal(['lost a']);
 	});
 
-	it('adds the decisions on the same request under other ids', () => {
+	it('adds the decisions about the same request under other ids', () => {
 		const under = (identity: string, request: string, at: string) =>
 			line({event: 1607, request, at, details: {identity}});
 		const trace = readTrace([
@@ -63,7 +63,7 @@
 		]);
 	});
 
-	it('says how many lines are missing or can not be read', () => {
+	it('counts the lines that were dropped or cannot be read', () => {
 		const trace = readTrace([
 			line({}),
 			'not a line of ours',
--- a/packages/observability/src/decision-events.ts
+++ b/packages/observability/src/decision-events.ts
@@ -12,7 +12,7 @@
 		meaning:
 			'The request went to no target: it is malformed, names no known service, lacks a key or home, or the node is leaving.',
 		advice:
-			'One caller only: tell its owner. All callers of a service: see `egretspoke targets`.',
+			'From one caller only: notify its owner. From all callers of a service: see `egretspoke targets`.',
 	},
 	routed: {
 		code: 1101,
@@ -41,9 +41,9 @@
 		isNotable: true,
 		template: 'tried again: {reason}',
 		meaning:
-			'An attempt was certainly not run, and the chain, the budget and the deadline allow another.',
+			'The previous attempt certainly did not run; the attempt limit of the call chain, the retry budget and the deadline allow another one.',
 		advice:
-			'Nothing to do for single ones; see egretspoke_retries_total for a trend.',
+			'Single retries need no action; see egretspoke_retries_total for the trend.',
 	},
 	retryRefused: {
 		code: 1202,
@@ -52,9 +52,9 @@
 		isNotable: true,
 		template: 'not tried again: {reason}',
 		meaning:
-			'Another attempt would exceed the attempts of the chain, the retry budget or the deadline.',
+			'Another attempt would exceed the attempt limit of the call chain, the retry budget or the deadline.',
 		advice:
-			'Never raise the attempts to cure an overload; find the slow service.',
+			'Do not raise the number of attempts to relieve an overload; find the slow service.',
 	},
 	admitted: {
 		code: 1301,
@@ -70,8 +70,8 @@
 		kind: 'decision',
 		template: 'waits for a slot: {reason}',
 		meaning:
-			'All slots are taken; the request waits within the time that the queue allows.',
-		advice: 'Nothing to do; see egretspoke_queue_time_seconds for a trend.',
+			'All slots are in use; the request waits up to the maximum time of the queue.',
+		advice: 'Nothing to do; see egretspoke_queue_time_seconds for the trend.',
 	},
 	admissionRefused: {
 		code: 1303,
@@ -80,9 +80,9 @@
 		isNotable: true,
 		template: 'refused at the target: {reason}',
 		meaning:
-			'The target has no room for this request now; it was not run, and its caller was told when to come back.',
+			'The target has no capacity for this request now. The request did not run, and its caller received a time after which to retry.',
 		advice:
-			'Expected in an overload. Essential requests among them for minutes: add targets.',
+			'Expected in an overload. If essential requests are refused for minutes: add targets.',
 	},
 	dispatched: {
 		code: 1304,
@@ -99,7 +99,7 @@
 		template: 'the target ended it: {reason}',
 		meaning:
 			'The exchange with the target is over: an answer, a certified refusal, or a loss.',
-		advice: '`lost` or `cut` often: see the target itself.',
+		advice: 'Frequent `lost` or `cut`: check the target itself.',
 	},
 	keyRepeated: {
 		code: 1501,
@@ -127,7 +127,7 @@
 		level: 'info',
 		kind: 'decision',
 		template: 'passed to its home {home}: {reason}',
-		meaning: 'Another node remembers this key and decides about it.',
+		meaning: 'Another node stores this key and decides about the request.',
 		advice: 'Nothing to do.',
 	},
 	requestEnded: {
@@ -135,7 +135,7 @@
 		level: 'debug',
 		kind: 'decision',
 		template: 'ended: {reason}',
-		meaning: 'The caller has its one final answer.',
+		meaning: 'The caller received its only and final answer.',
 		advice: 'Nothing to do.',
 	},
 	crashedUnder: {
@@ -145,9 +145,9 @@
 		isNotable: true,
 		template: 'its target crashed while it ran',
 		meaning:
-			'The target had this request when its process ended unannounced. `identity` is the same for repeats of the request under other ids, `ran` the milliseconds that the target had it, `crashes` how many are put down to it so far.',
+			'The target was running this request when its process ended without announcing it. `identity` is the same for repeats of the request under other ids, `ran` is the time in milliseconds that the target had the request, and `crashes` is the number of crashes attributed to it so far.',
 		advice:
-			'An identity that comes back at one crash after the other names the request that causes them.',
+			'An identity that recurs in successive crashes identifies the request that causes them.',
 	},
 	quarantined: {
 		code: 1608,
@@ -156,8 +156,8 @@
 		isNotable: true,
 		template: 'not given to any target: it crashes those that run it',
 		meaning:
-			'Targets crashed under this request, whatever its id, one after the other, and none answered it. No target gets it any more; it has run, so its caller is not told that it has not.',
+			'Successive targets crashed while running this request, under any id, and none answered it. It is no longer sent to any target. Because it has run, its caller does not receive an answer that claims otherwise.',
 		advice:
-			'`egretspoke explain` shows the crashes under the same `identity`, in lines 1607. Mend the service; the request is let in again when it has not come for an hour.',
+			'`egretspoke explain` shows the crashes with the same `identity`, in events 1607. Fix the service; the request is admitted again once it has not been received for an hour.',
 	},
 } as const satisfies Record<string, EventDefinition>;
--- a/packages/observability/src/log-cost.ts
+++ b/packages/observability/src/log-cost.ts
@@ -88,7 +88,7 @@
 
 function measureMetrics(): Cost {
 	const metrics = createMetrics(() => {
-		throw new Error('nothing is collected here');
+		throw new Error('the benchmark must not collect metrics');
 	});
 	let onPath = 0;
 	measure(() => {
--- a/packages/observability/src/log-line.ts
+++ b/packages/observability/src/log-line.ts
@@ -49,7 +49,7 @@
 		}),
 };
 
-/** Fills the details of an event into its template; the placeholder of a missing detail stays. */
+/** Fills the reason and the details of an event into its template; the placeholder of a missing one stays. */
 export function fillTemplate(event: RecordedEvent): string {
 	let text = '';
 	for (const {before, key} of templateParts[event.name]) {
--- a/packages/observability/src/mesh-events.ts
+++ b/packages/observability/src/mesh-events.ts
@@ -10,9 +10,9 @@
 		isNotable: true,
 		template: 'answered {status} by this node: {reason}',
 		meaning:
-			'No target answered this request for its caller. 503 says that it has not run; 502 and 504 leave that open.',
+			'The caller did not receive an answer of a target. 503 means that the request has not run; with 502 and 504 it may have run.',
 		advice:
-			'Many with `shed` or `noRoom`: the service or one that it calls is overloaded. Many with `linkLost`: look at the peers.',
+			'Many with `shed` or `noRoom`: the service or one that it calls is overloaded. Many with `linkLost`: check the peers.',
 	},
 	meshSentAgain: {
 		code: 1602,
@@ -20,7 +20,7 @@
 		kind: 'decision',
 		template: 'sent again, first target {from}: {reason}',
 		meaning:
-			'A target got the request and did not answer it; another one gets it, out of the retry budget.',
+			'A target received the request and did not answer it; the request is sent to another one, which counts against the retry budget.',
 		advice: 'Many from one target: replace it.',
 	},
 	meshTurnedAway: {
@@ -29,8 +29,8 @@
 		kind: 'decision',
 		template: 'turned away by {from}: {reason}',
 		meaning:
-			'The node beside the chosen target did not hand the request over; another target is chosen.',
-		advice: 'Some while targets join or leave are usual.',
+			'The node of the chosen target did not hand the request over; another target is chosen.',
+		advice: 'A few are normal while targets join or leave.',
 	},
 	meshTargetFailed: {
 		code: 1604,
@@ -38,9 +38,9 @@
 		kind: 'decision',
 		template: "the target's own {status} passed on, from {from}",
 		meaning:
-			'A target ran the request and failed, and it was not or may not be sent again.',
+			'A target ran the request and failed; the request was not, or must not be, sent again.',
 		advice:
-			'Look for lines about calls whose id begins with this one; without any, the fault is in the target itself.',
+			'Look for lines about calls whose id begins with the id of this request; if there are none, the fault is in the target itself.',
 	},
 	meshOfferedAgain: {
 		code: 1605,
@@ -48,8 +48,8 @@
 		kind: 'decision',
 		template: 'offered again to its target: {reason}',
 		meaning:
-			'The target declined the request although it had room, and got it again, out of the budget for repeats; the reason is what came of it.',
-		advice: 'Many from one target: look at the target itself.',
+			'The target declined the request although it had capacity, and received it again, which counts against the budget for repeats; the reason is the outcome.',
+		advice: 'Many from one target: check the target itself.',
 	},
 	meshRejected: {
 		code: 1606,
@@ -57,9 +57,9 @@
 		kind: 'decision',
 		template: 'rejected with {status}: {reason}',
 		meaning:
-			'The request was not looked at further: no configuration is known yet, no route takes it, its key names no workspace, or its workspace has used up its quota. It has not run.',
+			'The request was not processed: there is no configuration yet, no route matches it, its key belongs to no workspace, or its workspace has exhausted its quota. It has not run.',
 		advice:
-			'Many with `unknownKey` after a change: callers still use a key that was taken away. Many with `quotaExceeded` of one caller: it sends more than its workspace may.',
+			'Many with `unknownKey` after a change: callers still use a key that was removed. Many with `quotaExceeded` from one caller: it exceeds the quota of its workspace.',
 	},
 	meshStarted: {
 		code: 2501,
@@ -76,7 +76,7 @@
 		kind: 'notice',
 		template: 'target {target} of {service} is {state}',
 		meaning:
-			'What this node believes of the target beside it, and so whether it gets work.',
+			'The state of the local target as seen by this node, which decides whether it receives work.',
 		advice: 'Nothing to do.',
 	},
 	meshTargetReplaced: {
@@ -85,7 +85,7 @@
 		kind: 'notice',
 		template: 'the address of target {target} belongs to another one now',
 		meaning:
-			'The target answered that it is not the expected one; it gets no work until it announces itself.',
+			'The target answered that it is not the expected one; it receives no work until it announces itself.',
 		advice: 'Nothing to do.',
 	},
 	meshTargetUnreachable: {
@@ -93,9 +93,9 @@
 		level: 'warn',
 		kind: 'notice',
 		template: 'target {target} takes no connection: {detail}',
-		meaning: 'The target has ended or its queue of connections is full.',
+		meaning: 'The target has ended or its connection backlog is full.',
 		advice:
-			'Look at the target; it gets work again after its next announcement.',
+			'Check the target; it receives work again after its next announcement.',
 	},
 	meshAnnouncementMalformed: {
 		code: 2505,
@@ -103,7 +103,7 @@
 		kind: 'notice',
 		template: 'announcement of {target} not taken: {detail}',
 		meaning:
-			'Fields are missing or of another type; what was known before holds.',
+			'Fields are missing or have another type; the previous announcement stays in effect.',
 		advice: 'Find out who sent it.',
 	},
 	meshRowMalformed: {
@@ -111,7 +111,7 @@
 		level: 'warn',
 		kind: 'notice',
 		template: 'row {key} of the members is malformed',
-		meaning: 'Somebody else wrote it; it is left out.',
+		meaning: 'Another program wrote the row; it is ignored.',
 		advice: 'Find out who writes to the table.',
 	},
 	meshSettingsRead: {
@@ -127,8 +127,8 @@
 		level: 'error',
 		kind: 'notice',
 		template: 'changed settings not taken: {detail}',
-		meaning: 'The file can not be used; the settings in force stay.',
-		advice: 'Mend the file.',
+		meaning: 'The file cannot be used; the settings in force stay.',
+		advice: 'Correct the file.',
 	},
 	meshMetricsUnavailable: {
 		code: 2509,
@@ -136,7 +136,7 @@
 		kind: 'notice',
 		template: 'no metrics at {address}: {detail}',
 		meaning:
-			'The address for metrics is taken or not allowed; requests are served without.',
+			'The address for metrics is in use or not permitted; requests are served without metrics.',
 		advice: 'Free the port on this VM and start the node again.',
 	},
 } as const satisfies Record<string, EventDefinition>;
--- a/packages/observability/src/mesh-metric-catalogue.ts
+++ b/packages/observability/src/mesh-metric-catalogue.ts
@@ -9,7 +9,7 @@
 		labels: ['route', 'outcome', 'reason'],
 		help: 'Requests that entered at this node and ended, calls of the target beside it included.',
 		reading:
-			'`answered` is a success, `failed` a failure of the target, `refused` a 503 that has not run or a 404 without a route, `unknown` a 502 or 504, `left` a caller that went. `reason` is that of event 1601.',
+			'`answered` is a success, `failed` a failure of the target, `refused` a 503 that has not run or a 404 without a route, `unknown` a 502 or 504, `left` a caller that disconnected. `reason` is that of event 1601.',
 	},
 	meshRequestDuration: {
 		name: 'egretspoke_mesh_request_duration_seconds',
@@ -23,14 +23,14 @@
 		type: 'histogram',
 		labels: [],
 		help: 'Time of the target beside this node for a request, calls of its own included.',
-		reading: 'A jump at one target of a service: it has turned slow.',
+		reading: 'A jump at one target of a service: it has become slow.',
 	},
 	meshQueueTime: {
 		name: 'egretspoke_mesh_queue_time_seconds',
 		type: 'histogram',
 		labels: [],
 		help: 'Time that requests waited here before the target got them.',
-		reading: 'Above 15 ms for long, the shed level rises.',
+		reading: 'Above 15 ms for a long time, the shed level rises.',
 	},
 	meshAttempts: {
 		name: 'egretspoke_mesh_attempts_total',
@@ -38,7 +38,7 @@
 		labels: ['outcome'],
 		help: 'Requests that other nodes and this one brought to the target beside this node, by what came of them.',
 		reading:
-			'`refused` never reached the target; `declined` it says not to have run; of `lost` nobody knows.',
+			'`refused` was never handed to the target; `declined`: the target certified that it did not run it; `lost`: it may have run.',
 	},
 	meshShedLevel: {
 		name: 'egretspoke_mesh_shed_level',
@@ -46,7 +46,7 @@
 		labels: [],
 		help: 'Priorities of new work that the entries are asked to refuse for this target.',
 		reading:
-			'0 in calm times. Above 0 for long: the service, or one that it calls, is too small.',
+			'0 under normal load. Above 0 for a long time: the service, or one that it calls, lacks capacity.',
 	},
 	meshMembers: {
 		name: 'egretspoke_mesh_members',
--- a/packages/observability/src/metric-catalogue.ts
+++ b/packages/observability/src/metric-catalogue.ts
@@ -21,7 +21,7 @@
 		labels: ['role', 'service', 'class', 'outcome', 'error'],
 		help: 'Requests that ended, by role of this node, service, class, outcome and error.',
 		reading:
-			'Goodput is `outcome="answered"` with `role="entry"`; `not_run` is a truthful refusal; `unknown` is neither.',
+			'Goodput is `outcome="answered"` with `role="entry"`; `not_run` is a refusal that certainly has not run; `unknown` is neither.',
 	},
 	requestDuration: {
 		name: 'egretspoke_request_duration_seconds',
@@ -35,7 +35,7 @@
 		type: 'histogram',
 		labels: ['service'],
 		help: "Time that dispatched requests waited at the target's node.",
-		reading: 'Above the target time of the queue for long: an overload.',
+		reading: 'Above the target time of the queue for a long time: an overload.',
 	},
 	inFlight: {
 		name: 'egretspoke_requests_in_flight',
@@ -78,14 +78,15 @@
 		type: 'counter',
 		labels: ['service'],
 		help: 'Attempts beyond the first that this node made.',
-		reading: 'Its rate over that of requests is the share of retries.',
+		reading:
+			'Its rate divided by the rate of requests is the share of retries.',
 	},
 	retriesRefused: {
 		name: 'egretspoke_retries_refused_total',
 		type: 'counter',
 		labels: ['service'],
 		help: 'Attempts that the chain, the budget or the deadline forbade.',
-		reading: 'Rises in an overload; that is the bound at work.',
+		reading: 'Rises in an overload, when the limits on retries take effect.',
 	},
 	configurationVersion: {
 		name: 'egretspoke_configuration_version',
@@ -106,7 +107,8 @@
 		type: 'gauge',
 		labels: [],
 		help: 'Peers with an open, authenticated connection.',
-		reading: 'Below the active members for long: a link is cut.',
+		reading:
+			'Below the number of active members for a long time: a link is down.',
 	},
 	leaving: {
 		name: 'egretspoke_leaving',
@@ -120,7 +122,7 @@
 		type: 'counter',
 		labels: [],
 		help: 'Pauses of this process that were longer than its lease.',
-		reading: 'Above 0: the VM stands still at times.',
+		reading: 'Above 0: the VM is paused at times.',
 	},
 	platformReachable: {
 		name: 'egretspoke_platform_reachable',
@@ -134,14 +136,14 @@
 		type: 'counter',
 		labels: ['listener', 'kind'],
 		help: 'Input refused before it became a request or a message.',
-		reading: 'One caller at fault, an attack, or two protocol versions.',
+		reading: 'A faulty caller, an attack, or two protocol versions in use.',
 	},
 	lateAnswers: {
 		name: 'egretspoke_late_answers_total',
 		type: 'counter',
 		labels: [],
 		help: 'Answers dropped because their exchange had been given up.',
-		reading: 'Work spent for nobody.',
+		reading: 'Wasted work: these answers reached no caller.',
 	},
 	ledgerKeys: {
 		name: 'egretspoke_ledger_keys',
@@ -162,7 +164,7 @@
 		type: 'counter',
 		labels: ['child'],
 		help: 'Restarts of a part of this node after it failed.',
-		reading: 'Above 0: a fault of ours; see event 2006.',
+		reading: 'Above 0: a defect of egretspoke; see event 2006.',
 	},
 	logLinesDropped: {
 		name: 'egretspoke_log_lines_dropped_total',
@@ -183,7 +185,7 @@
 		type: 'gauge',
 		labels: [],
 		help: 'Resident memory of the process.',
-		reading: 'Flat under a steady load.',
+		reading: 'Constant under a steady load.',
 	},
 	targetCrashes: {
 		name: 'egretspoke_target_crashes_total',
@@ -199,7 +201,7 @@
 		labels: [],
 		help: 'Requests that entered at this node and were given to no target, since they crash those that run them.',
 		reading:
-			'Above 0: a caller repeats a request that crashes targets; events 1607 and 1608 name it.',
+			'Above 0: a caller repeats a request that crashes targets; events 1607 and 1608 identify it.',
 	},
 } as const satisfies Record<string, MetricDefinition>;
 
--- a/packages/observability/src/notice-events.ts
+++ b/packages/observability/src/notice-events.ts
@@ -28,16 +28,17 @@
 		meaning:
 			'Nothing is in flight any more. A number above 0 means that the drain time ran out.',
 		advice:
-			'Above 0: raise timings.drain to the longest request before the next stop.',
+			'Above 0: raise timings.drain to the duration of the longest request before the next stop.',
 	},
 	childFailed: {
 		code: 2006,
 		level: 'error',
 		kind: 'notice',
 		template: '{path} failed and restarts in {restartIn} ms: {detail}',
-		meaning: 'One part of the node failed and is restarted alone.',
+		meaning:
+			'One component of the node failed; only that component is restarted.',
 		advice:
-			'Once: report it with the line. Again and again: drain and replace the VM.',
+			'Once: report it with this line. Repeatedly: drain and replace the VM.',
 	},
 	suspended: {
 		code: 2007,
@@ -45,8 +46,8 @@
 		kind: 'notice',
 		template: 'was paused for {pause} ms, longer than its lease',
 		meaning:
-			'The process or VM stood still; the node refuses work until it has announced itself again.',
-		advice: 'Look for a VM migration or a starved host.',
+			'The process or VM was paused; the node refuses work until it has announced itself again.',
+		advice: 'Check for a VM migration or an overcommitted host.',
 	},
 	memberChanged: {
 		code: 2101,
@@ -54,9 +55,9 @@
 		kind: 'notice',
 		template: 'member {node} is {state}',
 		meaning:
-			'A placement decision: what this node thinks of another, and so whether work goes there.',
+			'A placement decision: the state of another node as seen by this one, which decides whether work is sent there.',
 		advice:
-			'`suspect` or `gone` without a planned stop: see whether its VM answers.',
+			'`suspect` or `gone` without a planned stop: check whether its VM responds.',
 	},
 	peerConnected: {
 		code: 2102,
@@ -72,7 +73,7 @@
 		kind: 'notice',
 		template: 'lost peer {peer}',
 		meaning:
-			'The connection closed. Exchanges under way on it end as not run or unknown.',
+			'The connection closed. Its open exchanges end as not run or unknown.',
 		advice: 'Many at once: a rack, a data centre or a link is cut off.',
 	},
 	peerRefused: {
@@ -81,7 +82,7 @@
 		kind: 'notice',
 		template: 'refused a peer: {detail}',
 		meaning:
-			'Somebody spoke to the peer listener without the secret, or in another protocol version.',
+			'A connection to the peer listener lacked the secret or used another protocol version.',
 		advice: 'During an upgrade: finish it. Otherwise find out who connects.',
 	},
 	configurationTaken: {
@@ -89,7 +90,8 @@
 		level: 'info',
 		kind: 'notice',
 		template: 'configuration version {version} in force, from {source}',
-		meaning: 'An accepted configuration higher than the last is in force here.',
+		meaning:
+			'An accepted configuration with a higher version than the last one is in force on this node.',
 		advice: 'Nothing to do.',
 	},
 	configurationRefused: {
@@ -98,8 +100,8 @@
 		kind: 'notice',
 		template: 'configuration version {version} not taken: {detail}',
 		meaning:
-			'What came is not higher, not whole, or does not fit its checksum; the last one stays in force.',
-		advice: 'Again and again: see who writes the head row of the table.',
+			'The received configuration has no higher version, is incomplete, or does not match its checksum; the last one stays in force.',
+		advice: 'Repeatedly: find out who writes the head row of the table.',
 	},
 	runningOnDefaults: {
 		code: 2203,
@@ -107,16 +109,17 @@
 		kind: 'notice',
 		template: 'no accepted configuration so far; safe defaults are in force',
 		meaning:
-			'None has ever been accepted, or neither the platform nor a peer could give it.',
+			'No configuration has ever been accepted, or neither the platform nor a peer could provide it.',
 		advice:
-			'With 2301 beside it: bring back the platform or the link; it mends itself then. Without: confirm a first plan.',
+			'Together with event 2301: restore the platform or the link; the node then recovers without further action. Otherwise: confirm a first plan.',
 	},
 	planMade: {
 		code: 2204,
 		level: 'info',
 		kind: 'notice',
 		template: 'plan {plan} by {author} against version {version}',
-		meaning: 'An operator asked what an intent would change.',
+		meaning:
+			'An operator requested a plan, which shows what an intent would change.',
 		advice: 'Nothing to do.',
 	},
 	planConfirmed: {
@@ -151,7 +154,7 @@
 		template:
 			"the platform can't be reached, the configuration in force stays: {detail}",
 		meaning:
-			'A read of the table failed. Requests are served on; nothing new can be accepted.',
+			'A read of the table failed. Requests are still served; no new configuration can be accepted.',
 		advice:
 			'Do not restart nodes in an outage: they would lose the configuration they hold.',
 	},
@@ -169,7 +172,7 @@
 		kind: 'notice',
 		template: 'malformed request from a caller: {fault}',
 		meaning:
-			'Too large, too slow, cut short or not HTTP; that caller alone got an error.',
+			'Too large, too slow, truncated or not HTTP; only that caller received an error.',
 		advice: 'Find the caller if the count grows.',
 	},
 	malformedMessage: {
@@ -177,7 +180,7 @@
 		level: 'warn',
 		kind: 'notice',
 		template: 'malformed message from a peer: {detail}',
-		meaning: 'A peer speaks nonsense or another version.',
+		meaning: 'A peer sent an invalid message or uses another protocol version.',
 		advice: 'During an upgrade: finish it. Otherwise drain that peer.',
 	},
 	operatorRefused: {
@@ -193,7 +196,7 @@
 		level: 'debug',
 		kind: 'notice',
 		template: 'dropped a late answer from {peer}',
-		meaning: 'The exchange was given up before its answer came.',
+		meaning: 'The exchange was abandoned before its answer arrived.',
 		advice: 'Many: that peer or the path to it is slow.',
 	},
 	linesDropped: {
@@ -210,9 +213,9 @@
 		kind: 'notice',
 		template: 'the target crashed with {requests} requests',
 		meaning:
-			'Every request at the target was lost and it takes no connection, without having announced its leaving.',
+			'All requests at the target were lost and it accepts no connection, and it had not announced that it was leaving.',
 		advice:
-			'Look at the target; lines 1607 of this moment name the requests that it had.',
+			'Check the target; events 1607 of the same moment contain the requests that it was running.',
 	},
 	requestQuarantined: {
 		code: 2511,
@@ -220,7 +223,7 @@
 		kind: 'notice',
 		template: 'request {identity} is in quarantine after {crashes} crashes',
 		meaning:
-			'This node has learnt, by its own target, a peer or the store, that the request crashes the targets that run it.',
-		advice: 'Look for line 1607 with this identity, which names its route.',
+			'According to the local target, a peer or the store, the request crashes the targets that run it.',
+		advice: 'Look for event 1607 with this identity, which contains its route.',
 	},
 } as const satisfies Record<string, EventDefinition>;
--- a/packages/shared/__tests__/fingerprint.spec.ts
+++ b/packages/shared/__tests__/fingerprint.spec.ts
@@ -2,7 +2,7 @@
 import {fingerprintRequest} from '../src/index.js';
 
 describe('fingerprint', () => {
-	it('tells apart each part of a request', () => {
+	it('depends on each part of a request', () => {
 		const parts = {
 			caller: 'roster',
 			method: 'POST',
--- a/packages/shared/__tests__/settings-reader.spec.ts
+++ b/packages/shared/__tests__/settings-reader.spec.ts
@@ -77,13 +77,13 @@
 		]);
 	});
 
-	it('names the known keys when none is near', () => {
+	it('lists the known keys when none is similar', () => {
 		expect(findingsOf('name: a\nlimits: {zzzzzz: 1}')).to.deep.equal([
 			'a.yaml:2:10 limits.zzzzzz: unknown key (known keys: body, queueTime)',
 		]);
 	});
 
-	it('reports a duplicate key beside the other faults', () => {
+	it('reports a duplicate key together with the other faults', () => {
 		expect(findingsOf('name: a\nname: b\nformat: 1')).to.deep.equal([
 			'a.yaml:2:1 Map keys must be unique',
 			'a.yaml:3:9 format: 1 is not allowed here (expected text, json)',
@@ -106,7 +106,7 @@
 		);
 	});
 
-	it('puts the findings of a cross check among the others', () => {
+	it('sorts the findings of a cross check into the others', () => {
 		const check = () => [{path: ['limits', 'body'], message: 'clashes'}];
 		const text = 'name: 1\nlimits: {body: 1KB}';
 		const findings = readDocument({text, file: 'a.yaml', schema, check});
@@ -117,7 +117,7 @@
 });
 
 describe('units', () => {
-	it('reads and writes durations', () => {
+	it('parses and formats durations', () => {
 		expect(
 			['250ms', '4s', '2m', '1.5h'].map((text) => parseDuration(text)),
 		).to.deep.equal([250, 4000, 120_000, 5_400_000]);
@@ -129,7 +129,7 @@
 		).to.deep.equal(['0ms', '250ms', '4s', '90s']);
 	});
 
-	it('reads and writes sizes', () => {
+	it('parses and formats sizes', () => {
 		expect(
 			['512B', '16KB', '32MB'].map((text) => parseSize(text)),
 		).to.deep.equal([512, 16_384, 33_554_432]);
--- a/packages/shared/__tests__/virtual-clock.spec.ts
+++ b/packages/shared/__tests__/virtual-clock.spec.ts
@@ -7,7 +7,7 @@
 } from '../src/index.js';
 
 describe('virtual clock', () => {
-	it('fires timers in the order of their instants, then of their setting', () => {
+	it('fires timers by instant, then in the order in which they were set', () => {
 		const clock = createVirtualClock();
 		const fired: string[] = [];
 		clock.setTimer(5, () => fired.push('c'));
@@ -29,19 +29,19 @@
 		expect(clock.pending()).to.equal(0);
 	});
 
-	it('lets promise callbacks run between timers', async () => {
+	it('runs promise callbacks between timers', async () => {
 		const clock = createVirtualClock();
 		const seen: number[] = [];
-		const walk = async () => {
+		const recordTimes = async () => {
 			await sleep(clock, 10);
 			seen.push(clock.now());
 			await sleep(clock, 10);
 			seen.push(clock.now());
 		};
 
-		const walking = walk();
+		const recording = recordTimes();
 		await clock.runTo(20);
-		await walking;
+		await recording;
 		expect(seen).to.deep.equal([10, 20]);
 	});
 
--- a/packages/shared/src/known-keys.ts
+++ b/packages/shared/src/known-keys.ts
@@ -25,7 +25,7 @@
 	return [...new Set(keys)];
 }
 
-/** Returns the schemas inside a wrapper schema, by its type. */
+/** The inner schemas of each type of schema that only wraps others. */
 const wrappers: Handlers<readonly z.core.$ZodType[]> = {
 	optional: ({innerType}) => [innerType],
 	nullable: ({innerType}) => [innerType],
