--- a/packages/observability/src/log-cost.ts
+++ b/packages/observability/src/log-cost.ts
@@ -68,12 +68,12 @@
 }
 
 function measureHistory(): Cost {
-	const history = createDecisionHistory();
+	const memory = createDecisionHistory();
 	let onPath = 0;
 	measure((round) => {
 		onPath += time(() => {
 			for (let index = 0; index < perRound; index++) {
-				history.record({
+				memory.record({
 					request: `request-${round}-${index}`,
 					name: 'routed',
 					at: round,
