--- a/packages/decisions/__tests__/admission-parts.spec.ts
+++ b/packages/decisions/__tests__/admission-parts.spec.ts
@@ -2,72 +2,73 @@
 import {createRandom} from '@egretspoke/shared';
 import {
 	closeLevelWindow,
-	countUse,
 	createAdmissionLevel,
-	highestLevel,
-	noteArrival,
+	maxLevel,
+	recordArrival,
+	recordSlotTime,
 } from '../src/admission-level.js';
 import {hashFraction} from '../src/chain-hash.js';
 import {
 	createConcurrencyLimit,
-	noteFull,
-	noteLatency,
-	noteShed,
+	recordFull,
+	recordLatency,
+	recordShed,
 } from '../src/concurrency-limit.js';
 import {
+	computePriority,
 	createFairShare,
-	isOverShareNumber,
-	noteDemand,
-	numberRequest,
-	settleShares,
+	isOverSharePriority,
+	recordDemand,
+	updateShares,
 } from '../src/fair-share.js';
 import {
 	beginChain,
 	chainPriority,
-	createLevelsBelow,
+	createDownstreamLevels,
+	downstreamLevel,
 	endChain,
-	learnLevelBelow,
-	levelBelow,
-} from '../src/levels-below.js';
+	recordDownstreamLevel,
+} from '../src/downstream-levels.js';
 
 describe('concurrency limit', () => {
-	/** Plays windows at full slots; latency is a function of the limit in force. */
-	const play = (latency: (limit: number) => number, windows: number) => {
+	/** Runs windows with full slots; latency is a function of the current limit. */
+	const runWindows = (latency: (limit: number) => number, windows: number) => {
 		const state = createConcurrencyLimit(40);
 		for (let sample = 0; sample < windows * 120; sample++) {
-			noteFull(state);
-			noteLatency(state, sample < 240 ? 1 : latency(state.limit));
+			recordFull(state);
+			recordLatency(state, sample < 240 ? 1 : latency(state.limit));
 		}
 
 		return state.limit;
 	};
 
-	// Ten processors stand behind forty announced slots: past ten requests each
-	// further one only makes all others slower, and users see latency for nothing.
-	it('comes down where latency grows with the requests in flight', () => {
-		expect(play((limit) => limit / 10, 30)).to.be.within(10, 30);
+	// The target has ten processors but announces forty slots. Beyond ten
+	// requests each further one only makes the others slower, and clients see
+	// latency without more throughput.
+	it('lowers the limit when latency grows with the requests in flight', () => {
+		expect(runWindows((limit) => limit / 10, 30)).to.be.within(10, 30);
 	});
 
-	// Something deeper has become slow. Fewer requests in flight would not make
-	// it faster; a limit that fell would throw slots away, and users' goodput.
-	it('stays where latency rises whatever the limit', () => {
-		expect(play(() => 3, 30)).to.equal(40);
+	// A downstream service has become slow. Fewer requests in flight would not
+	// make it faster; a lower limit would only waste slots and goodput.
+	it('keeps the limit when latency rises independently of it', () => {
+		expect(runWindows(() => 3, 30)).to.equal(40);
 	});
 
-	it('has a floor, also for a target that sheds all the time', () => {
+	it('has a minimum, even for a target that always sheds', () => {
 		const state = createConcurrencyLimit(40);
 		for (let sample = 0; sample < 10_000; sample++) {
-			noteFull(state);
-			noteShed(state, state.limit);
-			noteLatency(state, 1);
+			recordFull(state);
+			recordShed(state, state.limit);
+			recordLatency(state, 1);
 		}
 
 		expect(state.limit).to.be.at.least(4);
 	});
 
-	it('takes a shed at low load as somebody else’s trouble', () => {
+	it('ignores a shed at low load', () => {
 		const state = createConcurrencyLimit(40);
-		noteShed(state, 3);
+		recordShed(state, 3);
 		expect(state.limit).to.equal(40);
 	});
 });
@@ -76,8 +77,8 @@
 	const target = {limit: 10, serviceTime: 50};
 	const queued = [{priority: 130, slotTime: 500}];
 
-	/** Windows of 200 ms with work spread evenly over the normal class. */
-	const playWindows = (
+	/** Runs windows of 200 ms with work spread evenly over the normal class. */
+	const runLevelWindows = (
 		state: ReturnType<typeof createAdmissionLevel>,
 		count: number,
 		load: number,
@@ -86,28 +87,28 @@
 		for (let window = 0; window < count; window++) {
 			const now = state.windowStart + 200;
 			for (let number = 128; number < 256; number++) {
-				noteArrival(state, number, (load * 2000) / 128);
+				recordArrival(state, number, (load * 2000) / 128);
 			}
 
-			countUse(state, use * 10, now);
+			recordSlotTime(state, use * 10, now);
 			const waiting = use < 1 ? [] : queued;
 			closeLevelWindow(state, {...target, waiting}, now);
 		}
 	};
 
-	it('comes down to what the slots can run, and opens again', () => {
+	it('falls to what the slots can run, and recovers', () => {
 		const state = createAdmissionLevel(0);
-		playWindows(state, 6, 4, 1);
+		runLevelWindows(state, 6, 4, 1);
 		expect(state.level).to.be.within(128, 170);
-		// Three seconds is what recovery may take.
-		playWindows(state, 15, 0.5, 0.5);
-		expect(state.level).to.equal(highestLevel);
+		// The level may take three seconds to recover.
+		runLevelWindows(state, 15, 0.5, 0.5);
+		expect(state.level).to.equal(maxLevel);
 	});
 
-	it('stays open while slots are idle', () => {
+	it('admits all requests while slots are idle', () => {
 		const state = createAdmissionLevel(0);
-		playWindows(state, 10, 0.9, 0.9);
-		expect(state.level).to.equal(highestLevel);
+		runLevelWindows(state, 10, 0.9, 0.9);
+		expect(state.level).to.equal(maxLevel);
 	});
 });
 
@@ -119,69 +120,71 @@
 		isLong: false,
 	});
 
-	/** One caller sent 1,000 requests lately, twenty others 50 each. */
-	const settled = () => {
+	/** One caller sent 1,000 requests recently, twenty others 50 each. */
+	const createSettledShares = () => {
 		const state = createFairShare(0);
 		for (let index = 0; index < 1000; index++) {
-			noteDemand(state, facts('heavy', 0));
-			noteDemand(state, facts(`light-${index % 20}`, 0));
+			recordDemand(state, facts('heavy', 0));
+			recordDemand(state, facts(`light-${index % 20}`, 0));
 		}
 
-		settleShares(state, 0);
+		updateShares(state, 0);
 		return state;
 	};
 
 	const numbersOf = (caller: string) =>
 		Array.from({length: 1000}, (_, index) =>
-			numberRequest(settled(), facts(caller, index)),
+			computePriority(createSettledShares(), facts(caller, index)),
 		);
 
-	it('puts only what is above twice the ordinary last', () => {
+	it('numbers only requests above twice the median last', () => {
 		const over = numbersOf('heavy').filter((number) =>
-			isOverShareNumber(number),
+			isOverSharePriority(number),
 		);
 		expect(over.length).to.be.within(880, 920);
 		expect(Math.max(...numbersOf('light-3'))).to.be.lessThan(256);
 	});
 
-	it('never puts essential work last', () => {
+	it('never numbers essential requests last', () => {
 		for (let index = 0; index < 100; index++) {
 			const essential = {
 				...facts('heavy', index),
 				requestClass: 'essential' as const,
 			};
-			expect(numberRequest(settled(), essential)).to.be.lessThan(128);
+			expect(computePriority(createSettledShares(), essential)).to.be.lessThan(
+				128,
+			);
 		}
 	});
 
-	// Forty callers send alike, but by chance one of them sent more in these
-	// two seconds. It would lose its requests for nothing.
-	it('takes no caller for heavy that is so by chance', () => {
+	// Forty callers send at the same rate, but by chance one of them sent more
+	// in these two seconds. It must not lose requests because of that.
+	it('does not count a caller as heavy because of random variation', () => {
 		const state = createFairShare(0);
 		const random = createRandom(5);
 		for (let index = 0; index < 400; index++) {
-			noteDemand(state, facts(`caller-${random.below(40)}`, 0));
+			recordDemand(state, facts(`caller-${random.below(40)}`, 0));
 		}
 
-		settleShares(state, 0);
+		updateShares(state, 0);
 		const totals = [...state.callers.values()].map(({total}) => total);
 		expect(Math.max(...totals)).to.be.lessThan(state.heavyCount);
 	});
 
-	it('stays bounded with callers that come and go', () => {
+	it('limits the number of tracked callers and drops idle ones', () => {
 		const state = createFairShare(0);
 		for (let index = 0; index < 5000; index++) {
-			noteDemand(state, facts(`caller-${index}`, 0));
+			recordDemand(state, facts(`caller-${index}`, 0));
 		}
 
 		expect(state.callers.size).to.equal(1024);
-		settleShares(state, 20_000);
+		updateShares(state, 20_000);
 		expect(state.callers.size).to.equal(0);
 	});
 });
 
 describe('chain hash', () => {
-	it('spreads neighbouring names evenly', () => {
+	it('spreads consecutive names evenly', () => {
 		const buckets = Array.from({length: 10}, () => 0);
 		for (let index = 0; index < 10_000; index++) {
 			buckets[Math.floor(hashFraction(`request-${index}`) * 10)]!++;
@@ -191,43 +194,44 @@
 	});
 });
 
-describe('levels below', () => {
+describe('downstream levels', () => {
 	const learn = (
-		state: ReturnType<typeof createLevelsBelow>,
+		state: ReturnType<typeof createDownstreamLevels>,
 		levels: number[],
 	) => {
 		for (const level of levels) {
-			learnLevelBelow(state, 'chain', {service: 'deep', level, now: 0});
+			recordDownstreamLevel(state, 'chain', {service: 'deep', level, now: 0});
 		}
 	};
 
-	it('ties a level to the operation that needed the service', () => {
-		const state = createLevelsBelow();
+	it('records a level for the operation that called the service', () => {
+		const state = createDownstreamLevels();
 		beginChain(state, 'chain', 'GET /board', 77);
 		learn(state, [150, 150, 150]);
-		expect(levelBelow(state, 'GET /board', 10)).to.equal(150);
-		expect(levelBelow(state, 'GET /other', 10)).to.equal(highestLevel);
+		expect(downstreamLevel(state, 'GET /board', 10)).to.equal(150);
+		expect(downstreamLevel(state, 'GET /other', 10)).to.equal(maxLevel);
 		expect(chainPriority(state, 'chain')).to.equal(77);
 		endChain(state, 'chain');
 		expect(chainPriority(state, 'chain')).to.equal(undefined);
 	});
 
-	// One report in ten is wrong and claims a hopeless target. Believed, it
-	// would shut the operation, and users would be refused at an idle service.
-	it('does not believe a wrong report among right ones', () => {
-		const state = createLevelsBelow();
+	// One report in ten is wrong and reports a level that admits no request. If
+	// it were applied, the operation would be refused while the service is idle.
+	it('ignores a wrong report among right ones', () => {
+		const state = createDownstreamLevels();
 		beginChain(state, 'chain', 'GET /board', 0);
 		learn(state, [383, 383, -1, 383, 383, 383, -1, 383, 383]);
-		expect(levelBelow(state, 'GET /board', 10)).to.equal(highestLevel);
+		expect(downstreamLevel(state, 'GET /board', 10)).to.equal(maxLevel);
 	});
 
-	// The layer below has recovered, but everything is refused above it, so no
-	// answer ever says so. Without relaxing, the refusals would last for ever.
-	it('opens again when nobody confirms the level', () => {
-		const state = createLevelsBelow();
+	// The downstream service has recovered, but all requests are refused before
+	// they reach it, so no answer carries the new level. Without relaxing, the
+	// refusals would last forever.
+	it('admits all requests again when the level is not confirmed', () => {
+		const state = createDownstreamLevels();
 		beginChain(state, 'chain', 'GET /board', 0);
 		learn(state, [100]);
-		expect(levelBelow(state, 'GET /board', 1500)).to.be.greaterThan(200);
-		expect(levelBelow(state, 'GET /board', 2000)).to.equal(highestLevel);
+		expect(downstreamLevel(state, 'GET /board', 1500)).to.be.greaterThan(200);
+		expect(downstreamLevel(state, 'GET /board', 2000)).to.equal(maxLevel);
 	});
 });
--- a/packages/decisions/src/admission-queue.ts
+++ b/packages/decisions/src/admission-queue.ts
@@ -1,71 +1,74 @@
 /**
  * The requests that wait for a slot.
  *
- * Load pattern: a burst, and then overload that stays. A queue bounded by
- * length is too short for a burst of short work and far too long for slow
- * work: requests wait until their callers have gone, and every slot serves the
- * dead; one notices full slots, a constant queue and hardly a whole answer.
- * So the bound is time. An essential request waits as long as it can still end
- * in time; any other for a quarter of the time that it has left, so that four
- * layers may each keep it waiting. Once the queue has stood for a whole window
- * (CoDel, Nichols & Jacobson 2012), waiting no longer smooths a burst but only
- * delays everybody; then what is over its caller's share, and so never gets a
- * slot while anything else waits, goes after one service time.
+ * Load pattern: a burst, or lasting overload. A queue bounded by length is too
+ * short for a burst of short work and far too long for slow work: requests
+ * wait until their callers have given up, and the slots run requests that no
+ * client waits for. The bound is therefore time.
  *
- * Slots go by priority number, and so by class, then by share: what is refused
- * for want of time is then the same as what the level refuses, here and at
- * every other layer. In the order of arrival each layer would refuse other
- * requests, and few would be whole. At the same number the newest goes first,
- * since it has the most time left (adaptive LIFO, Maurer, "Fail at Scale",
- * 2015).
+ * Slots go by priority number, that is by class and then by share, so that
+ * requests which expire here are those that the level refuses here and at
+ * every other layer. In order of arrival each layer would refuse different
+ * requests, and few whole requests would succeed. At equal priority the newest
+ * request goes first, because it has the most time left (adaptive LIFO,
+ * Maurer, "Fail at Scale", 2015).
  */
-import {sharesPerClass} from './admission-level.js';
-import {isOverShareNumber} from './fair-share.js';
+import {prioritiesPerClass} from './admission-level.js';
+import {isOverSharePriority} from './fair-share.js';
 import {
 	createLazyHeap,
 	peekItem,
 	pushItem,
 	type LazyHeap,
-	type Leavable,
+	type Removable,
 } from './lazy-heap.js';
 import type {CallFacts} from './policy.js';
 
-/** A request that waits. */
-export type QueueEntry = Leavable & {
+/** A waiting request. */
+export type QueueEntry = Removable & {
 	call: CallFacts;
-	/** Its class. */
+	/** The rank of its class. */
 	rank: number;
 	isLong: boolean;
 	priority: number;
 	since: number;
-	/** The latest start from which it can end in time. */
-	latest: number;
-	/** When it is given up: at its latest start, or earlier when its patience is over. */
-	until: number;
-	/** Slot time that it will take. */
+	/** The latest start at which it can still end before its deadline. */
+	latestStart: number;
+	/** When it is refused: at `latestStart`, or earlier when it has reached its maximum wait. */
+	expiresAt: number;
+	/** Its expected slot time, in milliseconds. */
 	slotTime: number;
 };
 
-/** What waits in one class. */
+/** The totals of the waiting requests of one class. */
 type ClassSum = {shortTime: number; longTime: number; shortCount: number};
 
 /** The queue of one target. */
 export type AdmissionQueue = {
-	/** What is within its caller's share and what is over it, in the order of arrival. */
+	/** Requests within and over their caller's share, each in order of arrival. */
 	withinShare: Map<string, QueueEntry>;
 	overShare: Map<string, QueueEntry>;
 	shortByPriority: LazyHeap<QueueEntry>;
 	longByPriority: LazyHeap<QueueEntry>;
 	byExpiry: LazyHeap<QueueEntry>;
-	/** By class rank, and last what is over its caller's share. */
+	/** Totals by class rank; the last entry is for requests over their caller's share. */
 	sums: ClassSum[];
-	/** Since when the queue hasn't been empty; undefined while it is. */
+	/**
+	 * Since when the queue has not been empty; undefined while it is. Once it
+	 * has stood for a whole window (CoDel, Nichols & Jacobson 2012), waiting no
+	 * longer smooths a burst but only delays all requests. Requests over their
+	 * caller's share, which get no slot while others wait, are then refused
+	 * after one service time.
+	 */
 	standingSince: number | undefined;
 };
 
-/** The part of its time that a request other than an essential one waits at one layer. */
-const patienceShare = 1 / 4;
-/** The class index of what is over its caller's share. */
+/**
+ * The maximum wait at one layer of a request that isn't essential, as a ratio
+ * of its remaining time; a quarter allows four layers to queue it.
+ */
+const maxWaitShare = 1 / 4;
+/** The index of requests over their caller's share. */
 const overShareClass = 3;
 
 /** Creates an empty queue. */
@@ -73,9 +76,9 @@
 	return {
 		withinShare: new Map(),
 		overShare: new Map(),
-		shortByPriority: createLazyHeap(isMoreImportant),
-		longByPriority: createLazyHeap(isMoreImportant),
-		byExpiry: createLazyHeap((left, right) => left.until < right.until),
+		shortByPriority: createLazyHeap(hasPriorityOver),
+		longByPriority: createLazyHeap(hasPriorityOver),
+		byExpiry: createLazyHeap((left, right) => left.expiresAt < right.expiresAt),
 		sums: Array.from({length: overShareClass + 1}, () => ({
 			shortTime: 0,
 			longTime: 0,
@@ -85,24 +88,27 @@
 	};
 }
 
-/** When a request that may start until `latest` is given up. */
-export function patienceOf(
+/**
+ * When a waiting request expires. An essential request may wait until its
+ * latest start, others only for `maxWaitShare` of their remaining time.
+ */
+export function queueExpiry(
 	rank: number,
-	latest: number,
+	latestStart: number,
 	deadline: number,
 	now: number,
 ): number {
 	return rank === 0
-		? latest
-		: Math.min(latest, now + (deadline - now) * patienceShare);
+		? latestStart
+		: Math.min(latestStart, now + (deadline - now) * maxWaitShare);
 }
 
-/** How many wait. */
-export function lengthOf({withinShare, overShare}: AdmissionQueue): number {
+/** The number of waiting requests. */
+export function queueLength({withinShare, overShare}: AdmissionQueue): number {
 	return withinShare.size + overShare.size;
 }
 
-/** All that wait, in the order of arrival, what is over its caller's share last. */
+/** All waiting requests in order of arrival; those over their caller's share come last. */
 export function* waitingEntries({
 	withinShare,
 	overShare,
@@ -116,7 +122,7 @@
 	tableOf(queue, added).set(added.call.id, added);
 	queue.standingSince ??= added.since;
 	count(queue, added, 1);
-	const live = lengthOf(queue);
+	const live = queueLength(queue);
 	pushItem(queue.byExpiry, added, live);
 	pushItem(
 		added.isLong ? queue.longByPriority : queue.shortByPriority,
@@ -125,8 +131,8 @@
 	);
 }
 
-/** Takes a request out; undefined when it isn't waiting. */
-export function takeById(
+/** Removes a request; returns undefined when it isn't waiting. */
+export function removeById(
 	queue: AdmissionQueue,
 	id: string,
 ): QueueEntry | undefined {
@@ -138,8 +144,8 @@
 	return entry;
 }
 
-/** Takes all that wait, in the order of arrival. */
-export function takeAll(queue: AdmissionQueue): QueueEntry[] {
+/** Removes and returns all waiting requests, in the order of `waitingEntries`. */
+export function removeAll(queue: AdmissionQueue): QueueEntry[] {
 	const entries = [...waitingEntries(queue)];
 	for (const entry of entries) {
 		removeEntry(queue, entry);
@@ -148,7 +154,7 @@
 	return entries;
 }
 
-/** The request that is given up first. */
+/** The request that expires first. */
 export function firstToExpire(queue: AdmissionQueue): QueueEntry | undefined {
 	return peekItem(queue.byExpiry);
 }
@@ -161,8 +167,8 @@
 	return oldest;
 }
 
-/** Takes the request that gets the next slot. */
-export function takeNext(
+/** Removes and returns the request that gets the next slot. */
+export function dequeue(
 	queue: AdmissionQueue,
 	mayRunLong: (rank: number) => boolean,
 ): QueueEntry | undefined {
@@ -170,7 +176,7 @@
 	const long = peekItem(queue.longByPriority);
 	const isLongFirst =
 		long !== undefined &&
-		!(short && isMoreImportant(short, long)) &&
+		!(short && hasPriorityOver(short, long)) &&
 		mayRunLong(long.rank);
 	const entry = isLongFirst ? long : short;
 	if (entry) {
@@ -180,17 +186,20 @@
 	return entry;
 }
 
-/** Whether any short request waits. */
-export function waitsShort(queue: AdmissionQueue): boolean {
+/** Whether a short request waits. */
+export function hasShortWaiting(queue: AdmissionQueue): boolean {
 	return peekItem(queue.shortByPriority) !== undefined;
 }
 
-/** How many short requests of the class wait. */
-export function shortWaiting(queue: AdmissionQueue, rank: number): number {
+/** The number of waiting short requests of the class. */
+export function shortWaitingCount(queue: AdmissionQueue, rank: number): number {
 	return queue.sums[rank]?.shortCount ?? 0;
 }
 
-/** The slot time of what waits in the request's class and those before it; long work doesn't keep short work waiting. */
+/**
+ * The slot time of requests that wait in the same or a higher class. Long
+ * requests are not counted for a short one, because they don't delay it.
+ */
 export function slotTimeAhead(
 	queue: AdmissionQueue,
 	priority: number,
@@ -205,23 +214,23 @@
 	return sum;
 }
 
-function isMoreImportant(left: QueueEntry, right: QueueEntry): boolean {
+function hasPriorityOver(left: QueueEntry, right: QueueEntry): boolean {
 	return left.priority === right.priority
 		? left.since > right.since
 		: left.priority < right.priority;
 }
 
 function classOf(priority: number): number {
-	return isOverShareNumber(priority)
+	return isOverSharePriority(priority)
 		? overShareClass
-		: Math.floor(priority / sharesPerClass);
+		: Math.floor(priority / prioritiesPerClass);
 }
 
 function tableOf(
 	queue: AdmissionQueue,
 	{priority}: QueueEntry,
 ): Map<string, QueueEntry> {
-	return isOverShareNumber(priority) ? queue.overShare : queue.withinShare;
+	return isOverSharePriority(priority) ? queue.overShare : queue.withinShare;
 }
 
 function count(
@@ -239,10 +248,10 @@
 }
 
 function removeEntry(queue: AdmissionQueue, entry: QueueEntry): void {
-	entry.isGone = true;
+	entry.isRemoved = true;
 	tableOf(queue, entry).delete(entry.call.id);
 	count(queue, entry, -1);
-	if (lengthOf(queue) === 0) {
+	if (queueLength(queue) === 0) {
 		queue.standingSince = undefined;
 		for (const sum of queue.sums) {
 			sum.shortTime = 0;
