--- a/packages/command/src/demo-command.ts
+++ b/packages/command/src/demo-command.ts
@@ -1,4 +1,4 @@
-/** `egretspoke demo`: the whole path on stand-ins, in separate processes. */
+/** `egretspoke demo`: serves a request end to end with stand-ins, in separate processes. */
 import type {Command} from 'commander';
 import {addJsonOption, type CommandHost} from './command-host.js';
 import {exitCodes} from './exit-code.js';
@@ -7,7 +7,9 @@
 export function addDemoCommand(program: Command, host: CommandHost): void {
 	const command = program
 		.command('demo')
-		.description('serve one request end to end on stand-ins and show its way')
+		.description(
+			'serve one request end to end with stand-ins and show each step',
+		)
 		.addHelpText('after', '\nExample:\n  egretspoke demo');
 	addJsonOption(command).action(async (options: {json?: boolean}) => {
 		const {runDemo} = await import('./demo.js');
--- a/packages/command/src/explain-command.ts
+++ b/packages/command/src/explain-command.ts
@@ -1,5 +1,5 @@
-/** `egretspoke explain`: why was a request routed, queued or refused? */
-import {createLogStoryReader} from '@egretspoke/observability';
+/** `egretspoke explain`: shows why a request was routed, queued or refused. */
+import {createRequestTraceReader} from '@egretspoke/observability';
 import {explanationSchema, type Explanation} from '@egretspoke/protocol';
 import type {Command} from 'commander';
 import {
@@ -8,7 +8,11 @@
 	type CommandHost,
 	type NodeOptions,
 } from './command-host.js';
-import {readLogs, renderDetails, showStory} from './log-story-output.js';
+import {
+	readLogs,
+	renderDetails,
+	showRequestTrace,
+} from './request-trace-output.js';
 import {queryNode} from './node-query.js';
 import {renderTable, type Column} from './table.js';
 import type {Terminal} from './terminal.js';
@@ -17,29 +21,29 @@
 export function addExplainCommand(program: Command, host: CommandHost): void {
 	const command = program
 		.command('explain')
-		.description('show the decisions that a node took about a request, and why')
+		.description('show the decisions that a node made about a request, and why')
 		.argument(
 			'<request>',
-			"the Egretspoke-Request header of its answer, or with --logs the caller's id",
+			'the Egretspoke-Request header of its answer, or with --logs the request id of the caller',
 		)
 		.option(
 			'--logs <files...>',
-			'read the JSON lines of these files instead of asking a node; - is standard input',
+			'read the JSON lines of these files instead of calling a node; - is standard input',
 		)
 		.addHelpText(
 			'after',
-			'\nA node knows its own decisions only: ask the entry node first, then the one it routed to.\n\nExample:\n  egretspoke explain 3f9a0c --node 10.0.0.1:7402\n  egretspoke explain 9c41d07be2a35f68 --logs logs/*.jsonl',
+			'\nA node stores only its own decisions: query the entry node first, then the node that it routed to.\n\nExample:\n  egretspoke explain 3f9a0c --node 10.0.0.1:7402\n  egretspoke explain 9c41d07be2a35f68 --logs logs/*.jsonl',
 		);
 	addJsonOption(addNodeOptions(command)).action(
 		async (request: string, options: ExplainOptions) => {
 			if (options.logs) {
-				const reader = createLogStoryReader(request);
+				const reader = createRequestTraceReader(request);
 				const fault = await readLogs(reader, options.logs);
 				if (fault !== undefined) {
 					command.error(fault);
 				}
 
-				showStory(host, reader.finish(), options);
+				showRequestTrace(host, reader.finish(), options);
 				return;
 			}
 
--- a/packages/command/src/plan-command.ts
+++ b/packages/command/src/plan-command.ts
@@ -1,4 +1,4 @@
-/** `egretspoke plan`: what would an intent change? */
+/** `egretspoke plan`: shows what an intent would change. */
 import {readTextFile} from '@egretspoke/shared';
 import {
 	findingsAnswerSchema,
@@ -11,7 +11,7 @@
 import {
 	addJsonOption,
 	addNodeOptions,
-	connect,
+	createNodeClient,
 	printJson,
 	refuseWithFindings,
 	reportFault,
@@ -33,7 +33,10 @@
 		.command('plan')
 		.description('show what an intent would change; nothing takes effect yet')
 		.argument('<file>', 'the intent, YAML or JSON')
-		.option('--author <name>', 'who plans; the user of this machine otherwise')
+		.option(
+			'--author <name>',
+			'the author of the plan; defaults to the user of this machine',
+		)
 		.addHelpText('after', '\nExample:\n  egretspoke plan orders.yaml');
 	addJsonOption(addNodeOptions(command)).action(
 		async (file: string, options: PlanOptions) =>
@@ -53,7 +56,7 @@
 		return;
 	}
 
-	const client = connect(host, options, command);
+	const client = createNodeClient(host, options, command);
 	const {terminal} = host;
 	const author = options.author ?? terminal.environment.USER ?? 'unknown';
 	const answer = await withProgress(
@@ -113,7 +116,7 @@
 	typeof findingsAnswerSchema
 >['findings'][number];
 
-/** Leaves out what an answer holds as undefined. */
+/** Converts the findings of an answer, omitting properties that are undefined. */
 function readFindings(findings: AnsweredFinding[]) {
 	return findings.map(({place, path, message, advice}) => ({
 		path,
--- a/packages/control/src/intent.ts
+++ b/packages/control/src/intent.ts
@@ -53,7 +53,7 @@
 const serviceIntentSchema = z.strictObject({
 	service: nameSchema,
 	/** The deadline at the first entry node for a request without one, in milliseconds. */
-	deadline: createDurationSchema({least: '10ms', most: '10m'}).optional(),
+	deadline: createDurationSchema({min: '10ms', max: '10m'}).optional(),
 	attempts: z.number().int().min(1).max(maxAttempts).optional(),
 	requests: z.array(requestIntentSchema).optional(),
 	calls: z.array(nameSchema).optional(),
--- a/packages/mesh/src/request-forwarding.ts
+++ b/packages/mesh/src/request-forwarding.ts
@@ -302,7 +302,7 @@
 			until - now >= minTimeToRetry &&
 			takeFromBudget(now);
 		if (isAllowed) {
-			metrics.sentAgain(service);
+			metrics.retried(service);
 			reporter.decision('meshSentAgain', request.requestId, reason, {
 				from: node,
 				arrivals,
--- a/packages/mesh/src/target-dispatcher.ts
+++ b/packages/mesh/src/target-dispatcher.ts
@@ -300,7 +300,7 @@
 			pending.until - now >= minTimeToRepeat &&
 			offers.take(now);
 		if (isAllowed) {
-			metrics.sentAgain(pending.request.service);
+			metrics.retried(pending.request.service);
 		}
 
 		return isAllowed;
--- a/packages/observability/__tests__/decision-memory.spec.ts
+++ b/packages/observability/__tests__/decision-history.spec.ts
@@ -1,19 +1,19 @@
 import {expect} from 'chai';
-import {createDecisionMemory} from '../src/index.js';
+import {createDecisionHistory} from '../src/index.js';
 
-describe('decision memory', () => {
-	it('explains a request, the oldest decision first', () => {
-		const memory = createDecisionMemory();
-		memory.remember({
+describe('decision history', () => {
+	it('returns the decisions about a request, oldest first', () => {
+		const memory = createDecisionHistory();
+		memory.record({
 			request: 'r1',
 			name: 'routed',
 			at: 5,
 			reason: 'fewest in flight',
 			details: {node: 'b'},
 		});
-		memory.remember({request: 'r2', name: 'routed', at: 5, reason: 'x'});
-		memory.remember({request: 'r1', name: 'retried', at: 5, reason: 'y'});
-		memory.remember({request: 'r1', name: 'routed', at: 5, reason: 'z'});
+		memory.record({request: 'r2', name: 'routed', at: 5, reason: 'x'});
+		memory.record({request: 'r1', name: 'retried', at: 5, reason: 'y'});
+		memory.record({request: 'r1', name: 'routed', at: 5, reason: 'z'});
 		expect(memory.explain('r1')).to.deep.equal([
 			{
 				at: '1970-01-01T00:00:00.005Z',
@@ -39,19 +39,19 @@
 		]);
 	});
 
-	it('keeps a refusal while ordinary decisions push each other out', () => {
-		// A boat owner asks a minute later why the order was refused. On a busy
-		// node thousands of ordinary decisions came since; in one common ring
-		// the answer would be "not known here".
-		const memory = createDecisionMemory({ordinary: 10, notable: 10});
-		memory.remember({
+	it('retains a refusal while ordinary decisions evict each other', () => {
+		// An operator looks up a refusal a minute later. On a busy node thousands
+		// of ordinary decisions have been recorded since; in one shared buffer
+		// they would have evicted the refusal.
+		const memory = createDecisionHistory({ordinary: 10, notable: 10});
+		memory.record({
 			request: 'refused',
 			name: 'admissionRefused',
 			at: 0,
 			reason: 'over its share',
 		});
 		for (let at = 1; at <= 100; at++) {
-			memory.remember({request: `r${at}`, name: 'routed', at, reason: 'x'});
+			memory.record({request: `r${at}`, name: 'routed', at, reason: 'x'});
 		}
 
 		expect(memory.explain('refused')).to.have.length(1);
@@ -59,9 +59,9 @@
 		expect(memory.explain('r91')).to.have.length(1);
 	});
 
-	it('cuts a long reason', () => {
-		const memory = createDecisionMemory();
-		memory.remember({
+	it('truncates a long reason', () => {
+		const memory = createDecisionHistory();
+		memory.record({
 			request: 'r',
 			name: 'routed',
 			at: 0,
--- a/packages/shared/src/document-issue.ts
+++ b/packages/shared/src/document-issue.ts
@@ -1,13 +1,13 @@
-/** Turns what zod reports into what an operator can act on. */
+/** Converts issues of zod into messages that an operator can act on. */
 import type {z} from 'zod';
 import type {DocumentPath, PlacePart} from './document-place.js';
 import {listKnownKeys} from './known-keys.js';
 import {findNearestKey} from './nearest-key.js';
 
-/** A fault within a document, before its place is known. */
+/** A fault within a document, not yet resolved to a line and column. */
 export type DocumentIssue = {
 	path: DocumentPath;
-	/** Whether it is about the key or about its value, the usual case. */
+	/** Whether the fault concerns the key or the value; the value by default. */
 	part?: PlacePart;
 	message: string;
 	/** What was expected, or the nearest known key. */
@@ -22,7 +22,7 @@
 	schema: z.core.$ZodType,
 ) => DocumentIssue[];
 
-const longestQuote = 60;
+const maxQuoteLength = 60;
 
 /* eslint-disable @typescript-eslint/naming-convention -- the keys are zod's issue codes. */
 const explainers: {[Code in Issue['code']]: Explain<Code>} = {
@@ -46,14 +46,14 @@
 		{
 			path,
 			message: `${quote(written)} is too small`,
-			advice: `expected at least ${minimum}${measures[origin] ?? ''}`,
+			advice: `expected at least ${minimum}${unitSuffixes[origin] ?? ''}`,
 		},
 	],
 	too_big: ({path, maximum, origin}, written) => [
 		{
 			path,
 			message: `${quote(written)} is too large`,
-			advice: `expected at most ${maximum}${measures[origin] ?? ''}`,
+			advice: `expected at most ${maximum}${unitSuffixes[origin] ?? ''}`,
 		},
 	],
 	invalid_format: ({path, message, format}, written) => [
@@ -98,7 +98,7 @@
 };
 /* eslint-enable @typescript-eslint/naming-convention */
 
-/** What a schema's issue means, one entry a fault. */
+/** Converts an issue of zod into one entry per fault. */
 export function explainIssue(
 	issue: Issue,
 	schema: z.core.$ZodType,
@@ -119,7 +119,7 @@
 	boolean: 'true or false',
 };
 
-const measures: Record<string, string> = {
+const unitSuffixes: Record<string, string> = {
 	string: ' characters',
 	array: ' entries',
 };
@@ -141,12 +141,12 @@
 	};
 }
 
-/** Zod lists the values of a discriminator only in its message. */
+/** Extracts the allowed values of a discriminator from the message, because zod lists them nowhere else. */
 function describeBranches(message: string): string {
 	return message.replace(/^Invalid discriminator value\. E/u, 'e');
 }
 
-/** The branch that went deepest before it failed is the one that was meant. */
+/** Chooses the branch of a union whose issues are at the deepest path, because it most likely is the intended one. */
 function chooseBranch(branches: Issue[][]): Issue[] | undefined {
 	const depth = (branch: Issue[]) =>
 		Math.max(0, ...branch.map(({path}) => path.length));
@@ -170,5 +170,7 @@
 
 function quote(written: unknown): string {
 	const text = JSON.stringify(written) ?? '';
-	return text.length > longestQuote ? `${text.slice(0, longestQuote)}…` : text;
+	return text.length > maxQuoteLength
+		? `${text.slice(0, maxQuoteLength)}…`
+		: text;
 }
--- a/packages/shared/src/known-keys.ts
+++ b/packages/shared/src/known-keys.ts
@@ -1,15 +1,15 @@
-/** Reads from a zod schema which keys it knows at a path. */
+/** Lists the keys that a zod schema allows at a path. */
 import type {z} from 'zod';
 import type {DocumentPath} from './document-place.js';
 
 type Schema = z.core.$ZodTypes;
 type Definition = Schema['_zod']['def'];
 type Kind = Definition['type'];
-type Handlers<Answer> = {
-	[Each in Kind]?: (definition: Extract<Definition, {type: Each}>) => Answer;
+type Handlers<Output> = {
+	[Each in Kind]?: (definition: Extract<Definition, {type: Each}>) => Output;
 };
 
-/** The keys that any branch of the schema knows at the path. */
+/** Returns the keys that any branch of the schema allows at the path. */
 export function listKnownKeys(
 	schema: z.core.$ZodType,
 	path: DocumentPath,
@@ -25,7 +25,7 @@
 	return [...new Set(keys)];
 }
 
-/** What a schema that only wraps others stands for. */
+/** The inner schemas of each type of schema that only wraps others. */
 const wrappers: Handlers<readonly z.core.$ZodType[]> = {
 	optional: ({innerType}) => [innerType],
 	nullable: ({innerType}) => [innerType],
@@ -39,7 +39,7 @@
 	union: ({options}) => options,
 };
 
-/** The object, list or record schemas behind defaults, unions and pipes. */
+/** Unwraps defaults, unions, pipes and other wrappers, down to the inner schemas. */
 function unwrap(schema: z.core.$ZodType): Schema[] {
 	const known = schema as Schema;
 	const inner = handle(wrappers, known._zod.def);
@@ -56,11 +56,11 @@
 	return child ? unwrap(child) : [];
 }
 
-function handle<Answer>(
-	handlers: Handlers<Answer>,
+function handle<Output>(
+	handlers: Handlers<Output>,
 	definition: Definition,
-): Answer | undefined {
+): Output | undefined {
 	const handler = handlers[definition.type] as
-		((definition: Definition) => Answer) | undefined;
+		((definition: Definition) => Output) | undefined;
 	return handler?.(definition);
 }
--- a/packages/shared/src/nearest-key.ts
+++ b/packages/shared/src/nearest-key.ts
@@ -1,19 +1,19 @@
-/** The known key that somebody most likely meant. */
+/** Finds the known key that a misspelled key most likely stands for. */
 
 /**
- * The known key with the smallest edit distance to what was written, when it
- * is near enough to be a slip; undefined otherwise.
+ * Returns the known key with the smallest edit distance to the written key if
+ * the distance is small enough for a typo; undefined otherwise.
  */
 export function findNearestKey(
 	written: string,
 	known: readonly string[],
 ): string | undefined {
 	let nearest: string | undefined;
-	let smallest = Math.max(2, Math.floor(written.length / 2)) + 1;
+	let minDistance = Math.max(2, Math.floor(written.length / 2)) + 1;
 	for (const key of known) {
 		const distance = measureDistance(written.toLowerCase(), key.toLowerCase());
-		if (distance < smallest) {
-			smallest = distance;
+		if (distance < minDistance) {
+			minDistance = distance;
 			nearest = key;
 		}
 	}
@@ -21,7 +21,7 @@
 	return nearest;
 }
 
-/** Levenshtein distance, one row at a time. */
+/** Computes the Levenshtein distance, one row at a time. */
 function measureDistance(left: string, right: string): number {
 	let above = Array.from({length: right.length + 1}, (_, index) => index);
 	for (let row = 1; row <= left.length; row++) {
--- a/packages/shared/src/virtual-clock.ts
+++ b/packages/shared/src/virtual-clock.ts
@@ -1,21 +1,25 @@
 /**
- * A clock that moves only when told to, for tests, fault schedules and the
+ * A clock that advances only on request, for tests, fault schedules and the
  * experiment. Timers that are due at the same instant fire in the order in
- * which they were set, so a run is a function of its seed.
+ * which they were set, so a run depends only on its seed.
  */
 import type {Clock, Timer} from './clock.js';
 
-type Entry = {at: number; order: number; callback: (() => void) | undefined};
+type TimerEntry = {
+	at: number;
+	order: number;
+	callback: (() => void) | undefined;
+};
 
-/** A clock under the caller's control. */
+/** A clock that is advanced by its user. */
 export type VirtualClock = Clock & {
-	/** Fires the next timer and moves to its instant; false when none is set. */
+	/** Advances to the next timer and fires it; returns false when none is set. */
 	step(): boolean;
-	/** Fires everything due up to and including the instant, then stands there. */
+	/** Advances to the instant and fires all timers that are due up to and including it. */
 	advanceTo(instant: number): void;
-	/** The same, letting promise callbacks run between timers. */
+	/** Like `advanceTo`, but runs promise callbacks between timers. */
 	runTo(instant: number): Promise<void>;
-	/** How many timers are set. */
+	/** The number of timers that are set. */
 	pending(): number;
 };
 
@@ -23,10 +27,10 @@
 export function createVirtualClock(
 	origin = new Date('2026-01-01T00:00:00Z'),
 ): VirtualClock {
-	const heap: Entry[] = [];
+	const heap: TimerEntry[] = [];
 	let instant = 0;
 	let order = 0;
-	let live = 0;
+	let pendingCount = 0;
 
 	const step = (limit: number): boolean => {
 		for (let entry = heap[0]; entry && entry.at <= limit; entry = heap[0]) {
@@ -34,7 +38,7 @@
 			const {callback} = entry;
 			if (callback) {
 				entry.callback = undefined;
-				live--;
+				pendingCount--;
 				instant = Math.max(instant, entry.at);
 				callback();
 				return true;
@@ -48,18 +52,18 @@
 		now: () => instant,
 		date: () => new Date(origin.getTime() + instant),
 		setTimer(delay, callback): Timer {
-			const entry: Entry = {
+			const entry: TimerEntry = {
 				at: instant + Math.max(0, delay),
 				order: order++,
 				callback,
 			};
 			insert(heap, entry);
-			live++;
+			pendingCount++;
 			return {
 				cancel() {
 					if (entry.callback) {
 						entry.callback = undefined;
-						live--;
+						pendingCount--;
 					}
 				},
 			};
@@ -67,7 +71,7 @@
 		step: () => step(Number.POSITIVE_INFINITY),
 		advanceTo(target) {
 			while (step(target)) {
-				// Everything due fires before the clock stands still.
+				// Each call fires one timer that is due.
 			}
 
 			instant = Math.max(instant, target);
@@ -75,30 +79,30 @@
 		async runTo(target) {
 			await settle();
 			while (step(target)) {
-				// eslint-disable-next-line no-await-in-loop -- timers fire one after another, and what they woke runs first.
+				// eslint-disable-next-line no-await-in-loop -- timers fire one after another, and the promise callbacks of one run before the next.
 				await settle();
 			}
 
 			instant = Math.max(instant, target);
 		},
-		pending: () => live,
+		pending: () => pendingCount,
 	};
 }
 
-/** Lets every promise callback that is ready run. */
+/** Runs all pending promise callbacks. */
 async function settle(): Promise<void> {
 	await new Promise<void>((resolve) => {
 		setImmediate(resolve);
 	});
 }
 
-function isBefore(left: Entry, right: Entry): boolean {
+function isBefore(left: TimerEntry, right: TimerEntry): boolean {
 	return (
 		left.at < right.at || (left.at === right.at && left.order < right.order)
 	);
 }
 
-function insert(heap: Entry[], entry: Entry): void {
+function insert(heap: TimerEntry[], entry: TimerEntry): void {
 	let index = heap.push(entry) - 1;
 	while (index > 0) {
 		const parent = Math.floor((index - 1) / 2);
@@ -113,7 +117,7 @@
 	}
 }
 
-function removeFirst(heap: Entry[]): void {
+function removeFirst(heap: TimerEntry[]): void {
 	const last = heap.pop()!;
 	if (heap.length === 0) {
 		return;
