--- a/deploy/bundle.mjs
+++ b/deploy/bundle.mjs
@@ -1,14 +1,14 @@
 /**
- * Bundles the node program into one file. A start reads one file in place of
- * some hundred modules, and leaves out parts of libraries that the node never
- * uses: loading them would take most of the processor time of a start.
+ * Bundles the node program into one file. A start then reads one file instead
+ * of about a hundred modules, and skips parts of libraries that the node never
+ * uses; loading them would take most of the processor time of a start.
  */
 import path from 'node:path';
 import {build} from 'esbuild';
 
-/** Modules of libraries, by the end of their path, with what stands in their place. */
+/** Library modules, by path suffix, and their replacements. */
 const leanModules = {
-	// Fetch, WebSocket, mocks and caches are left out.
+	// Excludes fetch, WebSocket, mocks and caches.
 	'undici/index.js': `
 		const Dispatcher = require('./lib/dispatcher/dispatcher');
 		Object.assign(Dispatcher.prototype, require('./lib/api'));
@@ -16,9 +16,9 @@
 		exports.Pool = require('./lib/dispatcher/pool');
 		exports.buildConnector = require('./lib/core/connect');
 	`,
-	// Messages in other languages are left out.
+	// Excludes error messages in other languages.
 	'zod/v4/locales/index.js': `export {default as en} from './en.js';`,
-	// Metrics of Node's cluster module are left out.
+	// Excludes metrics of Node's cluster module.
 	'prom-client/lib/cluster.js': 'module.exports = undefined;',
 	'prom-client/lib/pushgateway.js': 'module.exports = undefined;',
 };
@@ -35,11 +35,11 @@
 			});
 		}
 
-		// A library that was laid out anew would be bundled whole again without a word.
+		// Fails the build when a library moves a module; otherwise it would silently be bundled in full again.
 		onEnd(() => ({
 			errors: Object.keys(leanModules)
 				.filter((end) => !replaced.has(end))
-				.map((end) => ({text: `no module ${end} to replace`})),
+				.map((end) => ({text: `module ${end} not found for replacement`})),
 		}));
 	},
 };
@@ -54,7 +54,7 @@
 	format: 'esm',
 	conditions: ['source'],
 	plugins: [leanLibraries],
-	// CommonJS modules within the bundle ask for Node's own modules by `require`.
+	// Bundled CommonJS modules load Node's built-in modules with `require`.
 	banner: {
 		js: "import {createRequire as createBundleRequire} from 'node:module'; const require = createBundleRequire(import.meta.url);",
 	},
