--- a/packages/benchmark/src/control-fleet.ts
+++ b/packages/benchmark/src/control-fleet.ts
@@ -34,7 +34,7 @@
 	/** Starts a node; a name that ran before takes its address anew. */
 	start(index: number): Promise<FleetNode>;
 	/** Cuts a data centre off from the others, or none. */
-	cutOff(dataCentre: string | undefined): void;
+	isolate(dataCentre: string | undefined): void;
 };
 
 /** Data centres at the two-year size. */
@@ -49,7 +49,10 @@
 	const byAddress = new Map<string, FleetNode>();
 	let cut: string | undefined;
 
-	const carry = (tally: NodeTally, message: Message): Message | undefined => {
+	const transmit = (
+		tally: NodeTally,
+		message: Message,
+	): Message | undefined => {
 		const bytes = encodeMessage(message);
 		tally.bytes += bytes.byteLength;
 		tally.messages++;
@@ -58,24 +61,24 @@
 
 	const findPeer = (address: string, from: string) => {
 		const peer = byAddress.get(address);
-		const isCut =
+		const isIsolated =
 			peer !== undefined &&
 			peer.dataCentre !== from &&
 			[peer.dataCentre, from].includes(cut ?? '');
-		return isCut ? undefined : peer;
+		return isIsolated ? undefined : peer;
 	};
 
 	const createSend =
 		(tally: NodeTally, from: string): SendProbe =>
 		async (address, probe) => {
-			const message = carry(tally, probe);
+			const message = transmit(tally, probe);
 			await setImmediate();
 			const peer = findPeer(address, from);
 			if (!peer || message?.type !== 'probe') {
 				return undefined;
 			}
 
-			const answer = carry(peer.tally, peer.control.receiveProbe(message));
+			const answer = transmit(peer.tally, peer.control.receiveProbe(message));
 			await setImmediate();
 			return answer?.type === 'acknowledgement' ? answer : undefined;
 		};
@@ -84,7 +87,7 @@
 		nodes: [],
 		platform,
 		tallies: [],
-		cutOff(dataCentre) {
+		isolate(dataCentre) {
 			cut = dataCentre;
 		},
 		async start(index) {
@@ -99,13 +102,13 @@
 				random: random.fork(),
 				send: createSend(tally, dataCentre),
 				async requestBody(address) {
-					carry(tally, {type: 'configurationRequest'});
+					transmit(tally, {type: 'configurationRequest'});
 					const peer = findPeer(address, dataCentre);
 					const body = peer?.control.configuration.body();
 					await setImmediate();
 					const answer =
 						peer && body
-							? carry(peer.tally, {type: 'configurationBody', ...body})
+							? transmit(peer.tally, {type: 'configurationBody', ...body})
 							: undefined;
 					return answer?.type === 'configurationBody' ? answer : undefined;
 				},
--- a/packages/benchmark/src/control-slopes.ts
+++ b/packages/benchmark/src/control-slopes.ts
@@ -49,7 +49,7 @@
 
 	await waitSeconds(settleSeconds(nodes));
 	const heap = measureHeap() - before;
-	const steady = await inWindow(fleet, steadySeconds);
+	const steady = await measureWindow(fleet, steadySeconds);
 	const configurationChange = await changeConfiguration(fleet);
 	const rollingRestart = await restartOneByOne(fleet);
 	const dataCentreReturns = await returnDataCentre(fleet);
@@ -67,7 +67,10 @@
 	};
 }
 
-async function inWindow(fleet: Fleet, seconds: number): Promise<PhaseFigures> {
+async function measureWindow(
+	fleet: Fleet,
+	seconds: number,
+): Promise<PhaseFigures> {
 	const end = startWindow(fleet.tallies, fleet.platform.counters);
 	await waitSeconds(seconds);
 	return end();
@@ -120,17 +123,17 @@
 	fleet: Fleet,
 ): Promise<SlopeResult['dataCentreReturns']> {
 	const {dataCentre} = fleet.nodes[0]!;
-	fleet.cutOff(dataCentre);
+	fleet.isolate(dataCentre);
 	await waitSeconds(cutSeconds);
-	fleet.cutOff(undefined);
+	fleet.isolate(undefined);
 	const end = startWindow(fleet.tallies, fleet.platform.counters);
 	const secondsUntilWhole = await waitUntil(returnSeconds, () =>
-		fleet.nodes.every((node) => knowsAll(node, fleet.nodes.length)),
+		fleet.nodes.every((node) => hasAllActiveMembers(node, fleet.nodes.length)),
 	);
 	return {...end(), secondsUntilWhole};
 }
 
-function knowsAll({control}: FleetNode, count: number): boolean {
+function hasAllActiveMembers({control}: FleetNode, count: number): boolean {
 	const members = control.membership.members();
 	return members.filter(({state}) => state === 'active').length === count;
 }
--- a/packages/benchmark/src/decision-benchmark.ts
+++ b/packages/benchmark/src/decision-benchmark.ts
@@ -14,7 +14,7 @@
 	type RoutingDecision,
 	type RoutingPolicy,
 } from '@egretspoke/decisions';
-import {toMedian} from './median.js';
+import {computeMedianCost} from './median.js';
 
 /** Median nanoseconds of each decision. */
 export type DecisionCosts = {
@@ -28,11 +28,11 @@
 };
 
 const batches = 4000;
-const warmUps = 1000;
+const warmUpBatches = 1000;
 /** Requests of a batch, and the milliseconds of virtual time it stands for. */
 const batchSize = 20;
 /** Of these so many end in the time: the slots run half of what arrives. */
-const endedOfBatch = 10;
+const endedPerBatch = 10;
 const dataCentres = ['one', 'two', 'three'];
 const classes = ['essential', 'normal', 'deferrable'] as const;
 const slots = 30;
@@ -61,7 +61,7 @@
 	routing.candidatesChanged('loft-queues', candidates, 0);
 	const choose: number[] = [];
 	const learn: number[] = [];
-	for (let batch = 0; batch < warmUps + batches; batch++) {
+	for (let batch = 0; batch < warmUpBatches + batches; batch++) {
 		const now = batch * batchSize;
 		const calls = createCalls(batch);
 		const begin = performance.now();
@@ -73,8 +73,8 @@
 	}
 
 	return {
-		choose: toMedian(choose.slice(warmUps), batchSize),
-		learn: toMedian(learn.slice(warmUps), batchSize),
+		choose: computeMedianCost(choose.slice(warmUpBatches), batchSize),
+		learn: computeMedianCost(learn.slice(warmUpBatches), batchSize),
 	};
 }
 
@@ -106,7 +106,7 @@
 	const arrive: number[] = [];
 	const finish: number[] = [];
 	const running: string[] = [];
-	for (let batch = 0; batch < warmUps + batches; batch++) {
+	for (let batch = 0; batch < warmUpBatches + batches; batch++) {
 		const now = batch * batchSize;
 		const calls = createCalls(batch);
 		const begin = performance.now();
@@ -118,19 +118,19 @@
 			}
 		}
 
-		const ended = running.splice(0, endedOfBatch);
+		const ended = running.splice(0, endedPerBatch);
 		const ending = performance.now();
-		const begun = finishAll(admission, ended, now + batchSize / 2);
-		if (ended.length === endedOfBatch) {
+		const startedIds = finishAll(admission, ended, now + batchSize / 2);
+		if (ended.length === endedPerBatch) {
 			finish.push(performance.now() - ending);
 		}
 
-		running.push(...begun);
+		running.push(...startedIds);
 	}
 
 	return {
-		arrive: toMedian(arrive.slice(warmUps), batchSize),
-		finish: toMedian(finish.slice(warmUps), endedOfBatch),
+		arrive: computeMedianCost(arrive.slice(warmUpBatches), batchSize),
+		finish: computeMedianCost(finish.slice(warmUpBatches), endedPerBatch),
 	};
 }
 
@@ -140,17 +140,17 @@
 	ended: string[],
 	now: number,
 ): string[] {
-	const begun: string[] = [];
+	const startedIds: string[] = [];
 	for (const id of ended) {
 		admission.finish(id, {duration: 60, result: 'ok'}, now);
-		for (const turn of admission.processQueue(now)) {
-			if (turn.kind === 'dispatch') {
-				begun.push(turn.id);
+		for (const decision of admission.processQueue(now)) {
+			if (decision.kind === 'dispatch') {
+				startedIds.push(decision.id);
 			}
 		}
 	}
 
-	return begun;
+	return startedIds;
 }
 
 function createCalls(batch: number): CallFacts[] {
--- a/packages/benchmark/src/live-benchmark.ts
+++ b/packages/benchmark/src/live-benchmark.ts
@@ -76,21 +76,21 @@
 const idleSeconds = 5;
 const clientConnections = 64;
 /** Calls a second while warming up. */
-const warmRate = 1000;
+const warmUpRate = 1000;
 
 /** Runs the whole benchmark; progress goes to the function. */
 export async function runLiveBenchmark(
 	options: LiveOptions,
-	say: (line: string) => void,
+	logProgress: (line: string) => void,
 ): Promise<LiveResult> {
 	const processes = await startLiveProcesses(options.logSample);
 	try {
-		say('measuring the idle processes');
+		logProgress('measuring the idle processes');
 		const idle = await measureIdle(processes);
-		say('warming up');
+		logProgress('warming up');
 		for (const way of wayNames) {
 			// eslint-disable-next-line no-await-in-loop -- the ways take turns.
-			await measureTurn(processes, way, warmRate, {
+			await measureInterval(processes, way, warmUpRate, {
 				...options,
 				duration: options.warmTime,
 			});
@@ -99,7 +99,7 @@
 		const rates = [];
 		for (const rate of options.rates) {
 			// eslint-disable-next-line no-await-in-loop -- one rate after another.
-			rates.push(await measureRate(processes, rate, options, say));
+			rates.push(await measureRate(processes, rate, options, logProgress));
 		}
 
 		return {options, ...idle, rates};
@@ -109,17 +109,17 @@
 }
 
 async function measureIdle(processes: LiveProcesses) {
-	const before = await readProcesses(processes);
+	const before = await readUsages(processes);
 	await new Promise((resolve) => {
 		setTimeout(resolve, idleSeconds * 1000);
 	});
-	const after = await readProcesses(processes);
+	const after = await readUsages(processes);
 	const share = (node: keyof Usages) =>
 		round(
 			(after[node].processorTime - before[node].processorTime) / idleSeconds,
 		);
 	return {
-		idleMemory: memoryOf(after),
+		idleMemory: toMemory(after),
 		idleProcessorShare: {
 			forwarder: share('forwarder'),
 			targetNode: share('targetNode'),
@@ -132,30 +132,35 @@
 	processes: LiveProcesses,
 	rate: number,
 	options: LiveOptions,
-	say: (line: string) => void,
+	logProgress: (line: string) => void,
 ) {
 	const tallies = new Map(
 		wayNames.map((way) => [
 			way,
-			{latencies: createLatencyHistogram(), failed: 0, sent: 0, busy: 0},
+			{
+				latencies: createLatencyHistogram(),
+				failed: 0,
+				sent: 0,
+				processorSeconds: 0,
+			},
 		]),
 	);
-	for (let turn = 1; turn <= options.rounds; turn++) {
-		say(`${rate} calls/s, turn ${turn} of ${options.rounds}`);
+	for (let currentRound = 1; currentRound <= options.rounds; currentRound++) {
+		logProgress(`${rate} calls/s, turn ${currentRound} of ${options.rounds}`);
 		for (const way of wayNames) {
 			const tally = tallies.get(way)!;
 			// eslint-disable-next-line no-await-in-loop -- the ways take turns.
-			const measured = await measureTurn(processes, way, rate, options);
+			const measured = await measureInterval(processes, way, rate, options);
 			tally.latencies.add(measured.latencies);
 			tally.failed += measured.failed;
 			tally.sent += measured.sent;
-			tally.busy += measured.busy;
+			tally.processorSeconds += measured.processorSeconds;
 		}
 	}
 
 	const direct = readQuantiles(tallies.get('direct')!.latencies);
 	const results = wayNames.map((way): WayResult => {
-		const {latencies, failed, sent, busy} = tallies.get(way)!;
+		const {latencies, failed, sent, processorSeconds} = tallies.get(way)!;
 		const latency = readQuantiles(latencies);
 		return {
 			way,
@@ -166,24 +171,24 @@
 				p999: round(latency.p999 - direct.p999),
 			},
 			failed,
-			processorTimePerCall: round((busy * 1000) / sent),
+			processorTimePerCall: round((processorSeconds * 1000) / sent),
 		};
 	});
 	return {
 		rate,
 		ways: results,
-		memory: memoryOf(await readProcesses(processes)),
+		memory: toMemory(await readUsages(processes)),
 	};
 }
 
-async function measureTurn(
+async function measureInterval(
 	processes: LiveProcesses,
 	way: WayName,
 	rate: number,
 	options: LiveOptions,
 ) {
 	const dispatcher = new Agent({connections: clientConnections});
-	const before = await readProcesses(processes);
+	const before = await readUsages(processes);
 	const result = await runOpenLoop({
 		dispatcher,
 		origin: `http://${ways[way](processes)}`,
@@ -195,21 +200,21 @@
 		duration: options.duration,
 		warmUp: options.warmUp,
 	});
-	const after = await readProcesses(processes);
+	const after = await readUsages(processes);
 	await dispatcher.close();
-	const busy =
+	const processorSeconds =
 		after.targetNode.processorTime -
 		before.targetNode.processorTime +
 		after.entryNode.processorTime -
 		before.entryNode.processorTime +
 		after.forwarder.processorTime -
 		before.forwarder.processorTime;
-	return {...result, busy};
+	return {...result, processorSeconds};
 }
 
 type Usages = Record<keyof ByProcess, ProcessUsage>;
 
-async function readProcesses({
+async function readUsages({
 	forwarder,
 	targetNode,
 	entryNode,
@@ -221,7 +226,7 @@
 	};
 }
 
-function memoryOf({forwarder, targetNode, entryNode}: Usages): ByProcess {
+function toMemory({forwarder, targetNode, entryNode}: Usages): ByProcess {
 	return {
 		forwarder: round(forwarder.residentMemory / megabyte),
 		targetNode: round(targetNode.residentMemory / megabyte),
--- a/packages/benchmark/src/live-processes.ts
+++ b/packages/benchmark/src/live-processes.ts
@@ -9,7 +9,7 @@
 import {
 	readStartedNode,
 	readText,
-	scriptBeside,
+	resolveScript,
 	startChild,
 	type Child,
 } from '@egretspoke/stand-ins';
@@ -44,7 +44,7 @@
 	const directory = await mkdtemp(path.join(tmpdir(), 'egretspoke-benchmark-'));
 	const children: Child[] = [];
 	const start = (packageName: string, script: string, parameters: string[]) => {
-		const file = scriptBeside(import.meta.resolve(packageName), script);
+		const file = resolveScript(import.meta.resolve(packageName), script);
 		const child = startChild({script: file, parameters});
 		children.push(child);
 		return child;
@@ -93,7 +93,7 @@
 	const targetNode = await startNode('vm-target', {
 		target: {address: targetAddress},
 	});
-	await target.ask(`announce ${targetNode.caller}`);
+	await target.sendCommand(`announce ${targetNode.caller}`);
 	const entryNode = await startNode('vm-entry', {});
 	await confirmIntent(entryNode);
 	await waitForTarget(entryNode);
--- a/packages/benchmark/src/median.ts
+++ b/packages/benchmark/src/median.ts
@@ -1,7 +1,10 @@
 /** The middle of what batches took. */
 
 /** The median batch, in nanoseconds for one of its decisions. */
-export function toMedian(milliseconds: number[], decisions: number): number {
+export function computeMedianCost(
+	milliseconds: number[],
+	decisions: number,
+): number {
 	const sorted = milliseconds.toSorted((left, right) => left - right);
 	const median = sorted[Math.floor(sorted.length / 2)] ?? 0;
 	return Math.round((median * 1e6) / decisions);
--- a/packages/benchmark/src/memory-slopes.ts
+++ b/packages/benchmark/src/memory-slopes.ts
@@ -21,7 +21,7 @@
 type Measured = {
 	count: number;
 	/** Stays reachable until everything has been measured. */
-	keep: unknown;
+	retained: unknown;
 	close?: () => Promise<void>;
 };
 
@@ -36,19 +36,19 @@
 const pieces: Record<string, () => Promise<Measured> | Measured> = {
 	'ledger key with an answer of 256 bytes': fillLedger,
 	'routing candidate': fillRouting,
-	'remembered decision': fillMemory,
+	'remembered decision': fillDecisionMemory,
 	'both ends of an idle peer connection': openConnections,
 };
 
 /** Measures each piece; needs `--expose-gc`. */
 export async function measureMemory(): Promise<MemorySlope[]> {
 	const slopes: MemorySlope[] = [];
-	const kept: Measured[] = [];
+	const measuredPieces: Measured[] = [];
 	for (const [piece, fill] of Object.entries(pieces)) {
 		const before = readMemory();
 		// eslint-disable-next-line no-await-in-loop -- one piece after another.
 		const measured = await fill();
-		kept.push(measured);
+		measuredPieces.push(measured);
 		const {count} = measured;
 		const after = readMemory();
 		slopes.push({
@@ -59,7 +59,7 @@
 		});
 	}
 
-	await Promise.all(kept.map(async ({close}) => close?.()));
+	await Promise.all(measuredPieces.map(async ({close}) => close?.()));
 	return slopes;
 }
 
@@ -86,7 +86,7 @@
 		}
 	}
 
-	return {count: ledgerKeys, keep: ledger};
+	return {count: ledgerKeys, retained: ledger};
 }
 
 function fillRouting(): Measured {
@@ -128,10 +128,10 @@
 		}
 	}
 
-	return {count: services * targetsPerService, keep: routing};
+	return {count: services * targetsPerService, retained: routing};
 }
 
-function fillMemory(): Measured {
+function fillDecisionMemory(): Measured {
 	const memory = createDecisionMemory({ordinary: decisions});
 	for (let index = 0; index < decisions; index++) {
 		memory.remember({
@@ -143,7 +143,7 @@
 		});
 	}
 
-	return {count: decisions, keep: memory};
+	return {count: decisions, retained: memory};
 }
 
 async function openConnections(): Promise<Measured> {
@@ -171,7 +171,7 @@
 
 	return {
 		count: connections,
-		keep: [channels, opener, acceptor],
+		retained: [channels, opener, acceptor],
 		async close() {
 			await opener.close();
 			await acceptor.close();
--- a/packages/benchmark/src/quarantine-cost.ts
+++ b/packages/benchmark/src/quarantine-cost.ts
@@ -7,7 +7,7 @@
 	type Quarantine,
 	type RequestParts,
 } from '@egretspoke/quarantine';
-import {toMedian} from './median.js';
+import {computeMedianCost} from './median.js';
 
 /** Median nanoseconds of a look. */
 export type QuarantineCosts = {
@@ -29,25 +29,25 @@
 
 /** Measures. */
 export function measureQuarantine(): QuarantineCosts {
-	const empty = createLoneQuarantine();
-	const full = createLoneQuarantine();
+	const empty = createIsolatedQuarantine();
+	const full = createIsolatedQuarantine();
 	for (let crash = 0; crash < fillingCrashes; crash++) {
-		crashUnder(full, (index) => createParts(`${crash}-${index}`));
+		recordCrash(full, (index) => createParts(`${crash}-${index}`));
 	}
 
 	const small = createParts('suspect');
 	const large = {...small, body: new Uint8Array(largeBody)};
-	crashUnder(full, (index) => (index === 0 ? small : large));
+	recordCrash(full, (index) => (index === 0 ? small : large));
 	const other = createParts('other');
 	return {
-		lookWhenEmpty: measureLook(empty, other),
-		lookOnOtherPath: measureLook(full, other),
-		lookAtSuspect: measureLook(full, small),
-		lookAtLargeSuspect: measureLook(full, large),
+		lookWhenEmpty: measureLookup(empty, other),
+		lookOnOtherPath: measureLookup(full, other),
+		lookAtSuspect: measureLookup(full, small),
+		lookAtLargeSuspect: measureLookup(full, large),
 	};
 }
 
-function createLoneQuarantine(): Quarantine {
+function createIsolatedQuarantine(): Quarantine {
 	const ignore = () => undefined;
 	return createQuarantine({
 		clock: createVirtualClock(),
@@ -68,7 +68,7 @@
 	};
 }
 
-function crashUnder(
+function recordCrash(
 	quarantine: Quarantine,
 	partsOf: (index: number) => RequestParts,
 ): void {
@@ -81,7 +81,7 @@
 	);
 }
 
-function measureLook(quarantine: Quarantine, parts: RequestParts): number {
+function measureLookup(quarantine: Quarantine, parts: RequestParts): number {
 	const durations: number[] = [];
 	for (let batch = 0; batch < batches; batch++) {
 		const begin = performance.now();
@@ -92,5 +92,5 @@
 		durations.push(performance.now() - begin);
 	}
 
-	return toMedian(durations, batchSize);
+	return computeMedianCost(durations, batchSize);
 }
--- a/packages/benchmark/src/slopes-main.ts
+++ b/packages/benchmark/src/slopes-main.ts
@@ -25,12 +25,14 @@
 const counts = flags.nodes.split(',').map(Number);
 const results = flags.one
 	? [await measureSlope(counts[0]!)]
-	: await Promise.all(counts.map(async (count) => measureApart(count)));
+	: await Promise.all(
+			counts.map(async (count) => measureInChildProcess(count)),
+		);
 process.stdout.write(
 	flags.json ? `${JSON.stringify({results})}\n` : format(results),
 );
 
-async function measureApart(count: number): Promise<SlopeResult> {
+async function measureInChildProcess(count: number): Promise<SlopeResult> {
 	const {stdout} = await runFile(process.execPath, [
 		...process.execArgv,
 		process.argv[1]!,
--- a/packages/command/src/demo-processes.ts
+++ b/packages/command/src/demo-processes.ts
@@ -12,7 +12,7 @@
 	Child,
 	readStartedNode,
 	readText,
-	scriptBeside,
+	resolveScript,
 	startChild,
 } from '@egretspoke/stand-ins';
 
@@ -55,7 +55,7 @@
 	startChild: typeof startChild;
 	readStartedNode: typeof readStartedNode;
 	readText: typeof readText;
-	scriptBeside: typeof scriptBeside;
+	resolveScript: typeof resolveScript;
 };
 
 const slots = 8;
@@ -96,7 +96,7 @@
 	): Promise<DemoNode> => {
 		const {service, calls, serviceTime, node, dataCentre} = machine;
 		const target = start(
-			standIns.scriptBeside(
+			standIns.resolveScript(
 				import.meta.resolve('@egretspoke/stand-ins'),
 				'target-main.js',
 			),
@@ -121,17 +121,20 @@
 			}),
 		);
 		const child = start(
-			standIns.scriptBeside(import.meta.resolve('@egretspoke/node'), 'main.js'),
+			standIns.resolveScript(
+				import.meta.resolve('@egretspoke/node'),
+				'main.js',
+			),
 			['--settings', settings],
 		);
 		const {caller, admin} = await child.waitFor(standIns.readStartedNode);
-		await target.ask(`announce ${caller}`);
+		await target.sendCommand(`announce ${caller}`);
 		say(`  ${node} serves ${service} in ${dataCentre}: callers ${caller}`);
 		return {...machine, caller, admin, process: child, target};
 	};
 
 	const platform = start(
-		standIns.scriptBeside(
+		standIns.resolveScript(
 			import.meta.resolve('@egretspoke/stand-ins'),
 			'platform-main.js',
 		),
@@ -149,7 +152,7 @@
 		say,
 		write,
 		async operate(admin, parameters) {
-			const child = start(standIns.scriptBeside(import.meta.url, 'main.js'), [
+			const child = start(standIns.resolveScript(import.meta.url, 'main.js'), [
 				...parameters,
 				'--node',
 				admin,
--- a/packages/control/__tests__/control-network.ts
+++ b/packages/control/__tests__/control-network.ts
@@ -79,7 +79,7 @@
 					peerAddress: address,
 					incarnation: clock.date().getTime(),
 				}),
-				platform: platform.seenFrom(() => isCut(dataCentre, 'platform')),
+				platform: platform.connectFrom(() => isCut(dataCentre, 'platform')),
 				clock: gate.clock,
 				random: random.fork(),
 				async send(to, probe: ProbeMessage) {
--- a/packages/experiment/src/contender.ts
+++ b/packages/experiment/src/contender.ts
@@ -9,7 +9,7 @@
 	type Mechanism,
 	type Policy,
 } from '@egretspoke/decisions';
-import {naivePolicy, naiveTries} from '@egretspoke/stand-ins';
+import {naivePolicy, naiveMaxAttempts} from '@egretspoke/stand-ins';
 
 /** One side of the comparison. */
 export type Contender = {
@@ -48,7 +48,7 @@
 	naive: () => ({
 		name: 'naive',
 		policy: naivePolicy,
-		attempts: naiveTries,
+		attempts: naiveMaxAttempts,
 		callDeadline: () => Number.POSITIVE_INFINITY,
 		attemptDeadline: (_deadline, now, tryTimeout) => now + tryTimeout,
 		cancels: false,
--- a/packages/faults/__tests__/outcomes.spec.ts
+++ b/packages/faults/__tests__/outcomes.spec.ts
@@ -1,6 +1,10 @@
 import {expect} from 'chai';
 import type {CallerOutcome, CallerRequest} from '@egretspoke/node';
-import {createBench, nameOf, type Bench} from './bench.js';
+import {
+	createTestCluster,
+	describeOutcome,
+	type TestCluster,
+} from './test-cluster.js';
 
 /** One row of the table of outcomes in docs/GUARANTEES.md. */
 type Row = {
@@ -9,7 +13,7 @@
 	ends: string;
 	/** Whether a target may have run it. */
 	runs: number;
-	arrange(bench: Bench): Promise<CallerOutcome | undefined>;
+	arrange(cluster: TestCluster): Promise<CallerOutcome | undefined>;
 };
 
 const idempotent: Partial<CallerRequest> = {method: 'GET'};
@@ -19,97 +23,98 @@
 		how: 'answered whole',
 		ends: 'answered',
 		runs: 1,
-		arrange: async (bench) => bench.sendAndWait('r'),
+		arrange: async (cluster) => cluster.sendAndWait('r'),
 	},
 	{
 		how: 'repeated after its answer',
 		ends: 'answered again',
 		runs: 1,
-		async arrange(bench) {
-			const keyExpiry = bench.clock.date().getTime() + 20_000;
-			await bench.sendAndWait('r', {keyExpiry});
-			return bench.sendAndWait('r', {keyExpiry});
+		async arrange(cluster) {
+			const keyExpiry = cluster.clock.date().getTime() + 20_000;
+			await cluster.sendAndWait('r', {keyExpiry});
+			return cluster.sendAndWait('r', {keyExpiry});
 		},
 	},
 	{
 		how: 'refused at its entry: no key',
 		ends: 'notRun KeyRequired',
 		runs: 0,
-		arrange: async (bench) => bench.sendAndWait('r', {key: undefined!}),
+		arrange: async (cluster) => cluster.sendAndWait('r', {key: undefined!}),
 	},
 	{
 		how: 'refused at its entry: no home',
 		ends: 'notRun HomeRequired',
 		runs: 0,
-		arrange: async (bench) => bench.sendAndWait('r', {home: undefined!}),
+		arrange: async (cluster) => cluster.sendAndWait('r', {home: undefined!}),
 	},
 	{
 		how: 'refused by a home without an expiry of the key',
 		ends: 'notRun KeyExpiryRequired',
 		runs: 0,
-		arrange: async (bench) => bench.sendAndWait('r', {keyExpiry: undefined!}),
+		arrange: async (cluster) =>
+			cluster.sendAndWait('r', {keyExpiry: undefined!}),
 	},
 	{
 		how: 'refused because its key lives too long',
 		ends: 'notRun KeyExpiryTooFar',
 		runs: 0,
-		arrange: async (bench) =>
-			bench.sendAndWait('r', {
-				keyExpiry: bench.clock.date().getTime() + 1_000_000,
+		arrange: async (cluster) =>
+			cluster.sendAndWait('r', {
+				keyExpiry: cluster.clock.date().getTime() + 1_000_000,
 			}),
 	},
 	{
 		how: 'refused because its key stands for another request',
 		ends: 'unknown KeyReused',
 		runs: 1,
-		async arrange(bench) {
-			const keyExpiry = bench.clock.date().getTime() + 20_000;
-			await bench.sendAndWait('r', {keyExpiry});
-			return bench.sendAndWait('r', {keyExpiry, path: '/refunds'});
+		async arrange(cluster) {
+			const keyExpiry = cluster.clock.date().getTime() + 20_000;
+			await cluster.sendAndWait('r', {keyExpiry});
+			return cluster.sendAndWait('r', {keyExpiry, path: '/refunds'});
 		},
 	},
 	{
 		how: 'shed by every target with a certificate',
 		ends: 'notRun',
 		runs: 0,
-		async arrange(bench) {
-			bench.setTargets({shed: 1});
-			return bench.sendAndWait('r');
+		async arrange(cluster) {
+			cluster.setTargets({shed: 1});
+			return cluster.sendAndWait('r');
 		},
 	},
 	{
 		how: 'no target can be reached',
 		ends: 'notRun',
 		runs: 0,
-		async arrange(bench) {
-			bench.setTargets({unreachable: 1});
-			return bench.sendAndWait('r');
+		async arrange(cluster) {
+			cluster.setTargets({unreachable: 1});
+			return cluster.sendAndWait('r');
 		},
 	},
 	{
 		how: 'every target is leaving',
 		ends: 'notRun',
 		runs: 0,
-		async arrange(bench) {
-			for (const process of bench.world.processes()) {
+		async arrange(cluster) {
+			for (const process of cluster.world.processes()) {
 				process.control.leave();
 			}
 
-			return bench.sendAndWait('r');
+			return cluster.sendAndWait('r');
 		},
 	},
 	{
 		how: 'refused by a node that was paused beyond its lease',
 		ends: 'notRun NodeSuspended',
 		runs: 0,
-		async arrange(bench) {
-			const {gate} = bench.world.processOf('vm-0')!;
-			gate.freeze();
-			await bench.wait(10_000);
-			const sent = bench.send('r');
-			await bench.wait(5);
-			gate.thaw();
-			await bench.wait(1000);
+		async arrange(cluster) {
+			const {execution} = cluster.world.findProcess('vm-0')!;
+			execution.freeze();
+			await cluster.wait(10_000);
+			const sent = cluster.send('r');
+			await cluster.wait(5);
+			execution.thaw();
+			await cluster.wait(1000);
 			return sent;
 		},
 	},
@@ -117,22 +122,22 @@
 		how: 'deadline passed while it ran',
 		ends: 'unknown DeadlineWhileRunning',
 		runs: 1,
-		async arrange(bench) {
-			bench.setTargets({slowness: 1000});
-			return bench.sendAndWait('r');
+		async arrange(cluster) {
+			cluster.setTargets({slowness: 1000});
+			return cluster.sendAndWait('r');
 		},
 	},
 	{
 		how: 'repeated while it runs',
 		ends: 'unknown StillRunning',
 		runs: 1,
-		async arrange(bench) {
-			bench.setTargets({slowness: 30});
-			const keyExpiry = bench.clock.date().getTime() + 20_000;
-			void bench.send('r', {keyExpiry});
-			await bench.wait(5);
-			const repeat = bench.send('r', {keyExpiry, timeLeft: 20});
-			await bench.wait(100);
+		async arrange(cluster) {
+			cluster.setTargets({slowness: 30});
+			const keyExpiry = cluster.clock.date().getTime() + 20_000;
+			void cluster.send('r', {keyExpiry});
+			await cluster.wait(5);
+			const repeat = cluster.send('r', {keyExpiry, timeLeft: 20});
+			await cluster.wait(100);
 			return repeat;
 		},
 	},
@@ -140,33 +145,33 @@
 		how: 'answer lost by its target',
 		ends: 'unknown AnswerLost',
 		runs: 1,
-		async arrange(bench) {
-			bench.setTargets({lost: 1});
-			return bench.sendAndWait('r');
+		async arrange(cluster) {
+			cluster.setTargets({lost: 1});
+			return cluster.sendAndWait('r');
 		},
 	},
 	{
 		how: 'answer cut short by its target',
 		ends: 'unknown AnswerCut',
 		runs: 1,
-		async arrange(bench) {
-			bench.setTargets({cut: 1});
-			return bench.sendAndWait('r');
+		async arrange(cluster) {
+			cluster.setTargets({cut: 1});
+			return cluster.sendAndWait('r');
 		},
 	},
 	{
 		how: 'connection between nodes cut after the hand-over',
 		ends: 'unknown AnswerLost',
 		runs: 1,
-		async arrange(bench) {
-			bench.setTargets({slowness: 20});
-			const sent = bench.send('r', {
+		async arrange(cluster) {
+			cluster.setTargets({slowness: 20});
+			const sent = cluster.send('r', {
 				entry: 'vm-0',
-				home: bench.homeAt('vm-1'),
+				home: cluster.homeAt('vm-1'),
 			});
-			await bench.wait(15);
-			bench.world.network.cut('vm-0');
-			await bench.wait(1500);
+			await cluster.wait(15);
+			cluster.world.network.cut('vm-0');
+			await cluster.wait(1500);
 			return sent;
 		},
 	},
@@ -174,12 +179,12 @@
 		how: 'home killed while it ran',
 		ends: 'unknown AnswerLost',
 		runs: 1,
-		async arrange(bench) {
-			bench.setTargets({slowness: 20});
-			const sent = bench.send('r', {home: bench.homeAt('vm-1')});
-			await bench.wait(15);
-			bench.world.kill('vm-1');
-			await bench.wait(1500);
+		async arrange(cluster) {
+			cluster.setTargets({slowness: 20});
+			const sent = cluster.send('r', {home: cluster.homeAt('vm-1')});
+			await cluster.wait(15);
+			cluster.world.kill('vm-1');
+			await cluster.wait(1500);
 			return sent;
 		},
 	},
@@ -187,58 +192,58 @@
 		how: 'home frozen with the request in hand',
 		ends: 'unknown DeadlineWhileRunning',
 		runs: 0,
-		async arrange(bench) {
-			bench.world.processOf('vm-1')!.gate.freeze();
-			return bench.sendAndWait('r', {home: bench.homeAt('vm-1')});
+		async arrange(cluster) {
+			cluster.world.findProcess('vm-1')!.execution.freeze();
+			return cluster.sendAndWait('r', {home: cluster.homeAt('vm-1')});
 		},
 	},
 	{
 		how: 'home not reachable',
 		ends: 'unknown HomeUnreachable',
 		runs: 0,
-		async arrange(bench) {
-			const home = bench.homeAt('vm-1');
-			bench.world.kill('vm-1');
-			return bench.sendAndWait('r', {home});
+		async arrange(cluster) {
+			const home = cluster.homeAt('vm-1');
+			cluster.world.kill('vm-1');
+			return cluster.sendAndWait('r', {home});
 		},
 	},
 	{
 		how: 'home of another incarnation',
 		ends: 'unknown HomeGone',
 		runs: 0,
-		arrange: async (bench) =>
-			bench.sendAndWait('r', {home: {node: 'vm-1', incarnation: 1}}),
+		arrange: async (cluster) =>
+			cluster.sendAndWait('r', {home: {node: 'vm-1', incarnation: 1}}),
 	},
 	{
 		how: 'key expired',
 		ends: 'unknown KeyExpired',
 		runs: 0,
-		arrange: async (bench) =>
-			bench.sendAndWait('r', {keyExpiry: bench.clock.date().getTime() - 1}),
+		arrange: async (cluster) =>
+			cluster.sendAndWait('r', {keyExpiry: cluster.clock.date().getTime() - 1}),
 	},
 	{
 		how: 'home full',
 		ends: 'notRun LedgerFull',
 		runs: 0,
-		async arrange(bench) {
+		async arrange(cluster) {
 			for (const key of ['a', 'b', 'c']) {
 				// eslint-disable-next-line no-await-in-loop -- one after another.
-				await bench.sendAndWait(key);
+				await cluster.sendAndWait(key);
 			}
 
-			return bench.sendAndWait('r');
+			return cluster.sendAndWait('r');
 		},
 	},
 	{
 		how: 'idempotent, one attempt lost and the next refused',
 		ends: 'unknown',
 		runs: 1,
-		async arrange(bench) {
-			bench.setTargets({lost: 1, slowness: 3});
-			const sent = bench.send('r', idempotent);
-			await bench.wait(4);
-			bench.setTargets({shed: 1});
-			await bench.wait(1500);
+		async arrange(cluster) {
+			cluster.setTargets({lost: 1, slowness: 3});
+			const sent = cluster.send('r', idempotent);
+			await cluster.wait(4);
+			cluster.setTargets({shed: 1});
+			await cluster.wait(1500);
 			return sent;
 		},
 	},
@@ -249,23 +254,26 @@
 		it(`${how}: ${ends}`, async () => {
 			// What the caller is told must fit what the targets did, whatever went
 			// wrong between them: a "not run" that ran is paid for twice.
-			const bench = await createBench({ledgerKeys: 3});
-			const result = await arrange(bench);
-			expect(nameOf(result).startsWith(ends), nameOf(result)).to.equal(true);
-			expect(bench.runsOf('r')).to.equal(runs);
-			expect(bench.violations()).to.deep.equal([]);
+			const cluster = await createTestCluster({ledgerKeys: 3});
+			const result = await arrange(cluster);
+			expect(
+				describeOutcome(result).startsWith(ends),
+				describeOutcome(result),
+			).to.equal(true);
+			expect(cluster.countRuns('r')).to.equal(runs);
+			expect(cluster.violations()).to.deep.equal([]);
 		});
 	}
 
 	it('refused in the queue of its target: not run, and the others are answered', async () => {
 		// A surge of bookings at slow targets. Whoever is turned away must be told
 		// the truth, and each booking that was let in must be there once.
-		const bench = await createBench({slots: 1});
-		bench.setTargets({slowness: 8});
+		const cluster = await createTestCluster({slots: 1});
+		cluster.setTargets({slowness: 8});
 		const sent = Array.from({length: 120}, async (_, index) =>
-			bench.send(`r${index}`),
+			cluster.send(`r${index}`),
 		);
-		await bench.wait(2000);
+		await cluster.wait(2000);
 		const kinds = new Set<string>();
 		for (const result of await Promise.all(sent)) {
 			kinds.add(result?.outcome.kind ?? 'no answer');
@@ -273,6 +281,6 @@
 
 		expect(kinds).to.include('answered');
 		expect(kinds).to.include('notRun');
-		expect(bench.violations()).to.deep.equal([]);
+		expect(cluster.violations()).to.deep.equal([]);
 	});
 });
--- a/packages/faults/__tests__/bench.ts
+++ b/packages/faults/__tests__/test-cluster.ts
@@ -3,16 +3,16 @@
 import type {CallerOutcome, CallerRequest} from '@egretspoke/node';
 import {ErrorCode, type Home} from '@egretspoke/protocol';
 import {createRandom, createVirtualClock} from '@egretspoke/shared';
-import {exchange, patience} from '../src/caller-exchange.js';
+import {exchange, callerTimeouts} from '../src/caller-exchange.js';
 import {fakeService} from '../src/fake-node.js';
 import {createFakeWorld} from '../src/fake-world.js';
 import {handlers, type HandlerName} from '../src/handlers.js';
 import {writeAnswerBody, writeMark} from '../src/request-mark.js';
 
-export type Sent = Promise<CallerOutcome | undefined>;
+export type PendingAttempt = Promise<CallerOutcome | undefined>;
 
 /** Four nodes, `vm-0` to `vm-3`, that have found each other. */
-export async function createBench(
+export async function createTestCluster(
 	options: {slots?: number; ledgerKeys?: number; handler?: HandlerName} = {},
 ) {
 	const {slots = 4, ledgerKeys = 1000, handler = 'egretspoke'} = options;
@@ -30,26 +30,26 @@
 
 	const homeAt = (name: string): Home => ({
 		node: name,
-		incarnation: world.processOf(name)!.control.membership.self().incarnation,
+		incarnation: world.findProcess(name)!.control.membership.self().incarnation,
 	});
 
 	/** Sends a payment; `vm-0` is its entry and its home unless said otherwise. */
 	const send = async (
 		key: string,
-		change: Partial<CallerRequest> & {entry?: string} = {},
-	): Sent => {
-		const {entry = 'vm-0', ...fields} = change;
+		overrides: Partial<CallerRequest> & {entry?: string} = {},
+	): PendingAttempt => {
+		const {entry = 'vm-0', ...fields} = overrides;
 		const mark = {attempt: `${key}.${attempts++}`, key};
 		const expected = digestBody(writeAnswerBody(key));
 		recorder.record({kind: 'submitted', ...mark, expected});
-		const result = await exchange(clock, world.processOf(entry), {
+		const result = await exchange(clock, world.findProcess(entry), {
 			service: fakeService,
 			method: 'POST',
 			path: '/payments',
 			headers: writeMark(mark),
 			body: new TextEncoder().encode(key),
 			caller: 'boat',
-			timeLeft: patience.deadline,
+			timeLeft: callerTimeouts.deadline,
 			key,
 			keyExpiry: clock.date().getTime() + 20_000,
 			home: homeAt('vm-0'),
@@ -74,15 +74,15 @@
 		/** Sends, and lets time pass until the attempt has ended. */
 		async sendAndWait(...given: Parameters<typeof send>) {
 			const sent = send(...given);
-			await wait(patience.deadline + patience.grace + 10);
+			await wait(callerTimeouts.deadline + callerTimeouts.grace + 10);
 			return sent;
 		},
-		setTargets(change: Partial<(typeof world.targets)[number]['faults']>) {
+		setTargets(overrides: Partial<(typeof world.targets)[number]['faults']>) {
 			for (const {faults} of world.targets) {
-				Object.assign(faults, change);
+				Object.assign(faults, overrides);
 			}
 		},
-		runsOf: (key: string) =>
+		countRuns: (key: string) =>
 			recorder
 				.history()
 				.filter((event) => event.kind === 'ran' && event.key === key).length,
@@ -90,10 +90,10 @@
 	};
 }
 
-export type Bench = Awaited<ReturnType<typeof createBench>>;
+export type TestCluster = Awaited<ReturnType<typeof createTestCluster>>;
 
 /** The end as `answered`, or as kind and name of the code. */
-export function nameOf(result: CallerOutcome | undefined): string {
+export function describeOutcome(result: CallerOutcome | undefined): string {
 	if (!result) {
 		return 'no answer';
 	}
--- a/packages/faults/src/caller-exchange.ts
+++ b/packages/faults/src/caller-exchange.ts
@@ -4,9 +4,9 @@
 import type {FakeProcess} from './fake-node.js';
 
 /** Milliseconds that callers grant, and how much longer they wait. */
-export const patience = {deadline: 800, grace: 150};
+export const callerTimeouts = {deadline: 800, grace: 150};
 
-const oneWay = 1;
+const oneWayDelayMs = 1;
 
 /** Undefined when no answer came before the caller gave up. */
 export async function exchange(
@@ -14,29 +14,32 @@
 	process: FakeProcess | undefined,
 	incoming: CallerRequest,
 ): Promise<CallerOutcome | undefined> {
-	await sleep(clock, oneWay);
-	if (!process || process.gate.state() === 'dead') {
+	await sleep(clock, oneWayDelayMs);
+	if (!process || process.execution.state() === 'dead') {
 		return undefined;
 	}
 
-	const {gate, core} = process;
-	const patienceEnd = new AbortController();
+	const {execution, core} = process;
+	const callerAbort = new AbortController();
 	return new Promise((resolve) => {
-		const timer = clock.setTimer(patience.deadline + patience.grace, () => {
-			gate.run(() => {
-				patienceEnd.abort();
-			});
-			resolve(undefined);
-		});
+		const timer = clock.setTimer(
+			callerTimeouts.deadline + callerTimeouts.grace,
+			() => {
+				execution.run(() => {
+					callerAbort.abort();
+				});
+				resolve(undefined);
+			},
+		);
 		const answer = async () => {
-			const outcome = await core.entry.handle(incoming, patienceEnd.signal);
-			await gate.hold(Promise.resolve());
-			await sleep(clock, oneWay);
+			const outcome = await core.entry.handle(incoming, callerAbort.signal);
+			await execution.hold(Promise.resolve());
+			await sleep(clock, oneWayDelayMs);
 			timer.cancel();
 			resolve(outcome);
 		};
 
-		gate.run(() => {
+		execution.run(() => {
 			void answer();
 		});
 	});
--- a/packages/faults/src/fake-callers.ts
+++ b/packages/faults/src/fake-callers.ts
@@ -1,10 +1,10 @@
-/** Callers that send, lose patience, and repeat with the same key and home. */
+/** Callers that send, lose callerTimeouts, and repeat with the same key and home. */
 import type {Home, Outcome} from '@egretspoke/protocol';
 import {digestBody, type Recorder} from '@egretspoke/history';
 import type {CallerOutcome, CallerRequest} from '@egretspoke/node';
 import {sleep, type Clock, type Random} from '@egretspoke/shared';
-import {exchange, patience} from './caller-exchange.js';
-import {fakeService, longestKeyLife, type FakeProcess} from './fake-node.js';
+import {exchange, callerTimeouts} from './caller-exchange.js';
+import {fakeService, maxKeyLifetimeMs, type FakeProcess} from './fake-node.js';
 import {writeAnswerBody, writeMark} from './request-mark.js';
 
 /** The callers of one run. */
@@ -26,7 +26,7 @@
 
 type Request = {key: string; expiry: number; isRepeatable: boolean};
 
-const mostRepeats = 6;
+const maxRepeats = 6;
 
 /** Creates callers that reach the processes that are up at the time. */
 export function createFakeCallers(options: {
@@ -57,7 +57,7 @@
 			headers: writeMark(mark),
 			body: new TextEncoder().encode(request.key),
 			caller: `caller-${request.key.length % 3}`,
-			timeLeft: patience.deadline,
+			timeLeft: callerTimeouts.deadline,
 			...(!request.isRepeatable && {
 				key: request.key,
 				keyExpiry: request.expiry,
@@ -66,7 +66,7 @@
 		};
 		const result = await exchange(clock, process, incoming);
 		if (result) {
-			note(mark, result.outcome);
+			recordOutcome(mark, result.outcome);
 		} else {
 			counts.lost++;
 		}
@@ -74,7 +74,7 @@
 		return result;
 	};
 
-	const note = (
+	const recordOutcome = (
 		mark: {attempt: string; key: string},
 		outcome: Outcome,
 	): void => {
@@ -91,7 +91,7 @@
 	};
 
 	/** One node, or several at once as an impatient user does. */
-	const attemptSome = async (request: Request, home: Home | undefined) => {
+	const attemptCopies = async (request: Request, home: Home | undefined) => {
 		const copies = random.below(4) === 0 ? 1 + random.below(3) : 1;
 		const results = await Promise.all(
 			Array.from({length: copies}, async () => attempt(request, home)),
@@ -104,16 +104,16 @@
 
 	return {
 		async send(number) {
-			const lifetime = 500 + random.below(longestKeyLife / 10);
+			const lifetime = 500 + random.below(maxKeyLifetimeMs / 10);
 			const request = {
 				key: `request-${number}`,
 				expiry: clock.date().getTime() + lifetime,
 				isRepeatable: random.below(4) === 0,
 			};
 			let home: Home | undefined;
-			for (let repeat = 0; repeat < mostRepeats; repeat++) {
+			for (let repeat = 0; repeat < maxRepeats; repeat++) {
 				// eslint-disable-next-line no-await-in-loop -- a repeat comes after what it repeats.
-				const result = await attemptSome(request, home);
+				const result = await attemptCopies(request, home);
 				home ??= result?.home;
 				const isDone = result?.outcome.kind === 'answered';
 				if (isDone && random.below(10) > 0) {
--- a/packages/faults/src/fake-channel.ts
+++ b/packages/faults/src/fake-channel.ts
@@ -2,7 +2,7 @@
 import {decodeMessage, encodeMessage, type Message} from '@egretspoke/protocol';
 import type {MessageChannel, PeerIdentity} from '@egretspoke/node';
 import type {Clock} from '@egretspoke/shared';
-import type {ProcessGate} from './process-gate.js';
+import type {ProcessExecution} from './process-execution.js';
 
 /** What the two ends share. */
 export type Link = {
@@ -22,28 +22,28 @@
 };
 
 /** Milliseconds between two looks at a link that is cut. */
-const cutRetry = 20;
+const cutPollIntervalMs = 20;
 
 /** Creates an end that isn't connected yet. */
 export function createChannelEnd(
 	link: Link,
 	peer: PeerIdentity,
-	gate: ProcessGate,
+	execution: ProcessExecution,
 ): ChannelEnd {
 	const {clock} = link;
 	const inbox: Message[] = [];
-	let underWay: Array<{at: number; message: Uint8Array | undefined}> = [];
+	let inTransit: Array<{at: number; message: Uint8Array | undefined}> = [];
 	let other: ChannelEnd | undefined;
 	let isOpen = true;
 	let isEnded = false;
 	let wake: (() => void) | undefined;
 
-	const signal = () => {
+	const wakeReceiver = () => {
 		wake?.();
 		wake = undefined;
 	};
 
-	const nextSignal = async () =>
+	const waitForWake = async () =>
 		new Promise<void>((resolve) => {
 			wake = resolve;
 		});
@@ -51,43 +51,43 @@
 	const end = () => {
 		isOpen = false;
 		isEnded = true;
-		signal();
+		wakeReceiver();
 	};
 
-	const pump = () => {
-		const first = underWay[0];
+	const deliverDueMessages = () => {
+		const first = inTransit[0];
 		if (!first) {
 			return;
 		}
 
 		if (link.isCut()) {
-			clock.setTimer(cutRetry, pump);
+			clock.setTimer(cutPollIntervalMs, deliverDueMessages);
 			return;
 		}
 
 		if (first.at > clock.now()) {
-			clock.setTimer(first.at - clock.now(), pump);
+			clock.setTimer(first.at - clock.now(), deliverDueMessages);
 			return;
 		}
 
-		underWay.shift();
+		inTransit.shift();
 		other?.deliver(first.message);
-		pump();
+		deliverDueMessages();
 	};
 
 	const enqueue = (message: Uint8Array | undefined) => {
-		const last = underWay.at(-1)?.at ?? 0;
+		const last = inTransit.at(-1)?.at ?? 0;
 		const at = Math.max(last, clock.now() + link.drawDelay());
-		underWay.push({at, message});
-		if (underWay.length === 1) {
-			pump();
+		inTransit.push({at, message});
+		if (inTransit.length === 1) {
+			deliverDueMessages();
 		}
 	};
 
 	return {
 		peer,
-		connect(end_) {
-			other = end_;
+		connect(otherEnd) {
+			other = otherEnd;
 		},
 		send(message) {
 			if (!isOpen) {
@@ -109,7 +109,7 @@
 				}
 
 				// eslint-disable-next-line no-await-in-loop -- waits for the next message.
-				await nextSignal();
+				await waitForWake();
 			}
 		},
 		close() {
@@ -119,18 +119,18 @@
 			}
 		},
 		deliver(message) {
-			gate.run(() => {
+			execution.run(() => {
 				if (message === undefined) {
 					end();
 				} else if (!isEnded) {
 					inbox.push(decodeMessage(message)._unsafeUnwrap());
-					signal();
+					wakeReceiver();
 				}
 			});
 		},
 		break() {
-			underWay = [];
-			gate.run(end);
+			inTransit = [];
+			execution.run(end);
 		},
 	};
 }
--- a/packages/faults/src/fake-network.ts
+++ b/packages/faults/src/fake-network.ts
@@ -10,13 +10,13 @@
 } from '@egretspoke/node';
 import {sleep, type Clock, type Random} from '@egretspoke/shared';
 import {createChannelEnd, type ChannelEnd} from './fake-channel.js';
-import type {ProcessGate} from './process-gate.js';
+import type {ProcessExecution} from './process-execution.js';
 
 /** A process on the network. */
 export type Endpoint = {
 	address: string;
 	identity: PeerIdentity;
-	gate: ProcessGate;
+	execution: ProcessExecution;
 };
 
 /** The network and its faults. */
@@ -33,18 +33,18 @@
 	heal(): void;
 };
 
-type Attached = Endpoint & {accept: (channel: MessageChannel) => void};
-type Pair = {ends: [ChannelEnd, ChannelEnd]; nodes: [string, string]};
+type AttachedEndpoint = Endpoint & {accept: (channel: MessageChannel) => void};
+type ChannelPair = {ends: [ChannelEnd, ChannelEnd]; nodes: [string, string]};
 
 /** Milliseconds after which an attempt to connect is given up. */
-const connectTimeout = 500;
+const connectTimeoutMs = 500;
 /** Milliseconds after which a silent channel is found broken. */
-const keepAlive = 1000;
+const keepAliveTimeoutMs = 1000;
 
 /** Creates a network without endpoints. */
 export function createFakeNetwork(clock: Clock, random: Random): FakeNetwork {
-	const attached = new Map<string, Attached>();
-	const pairs = new Set<Pair>();
+	const attached = new Map<string, AttachedEndpoint>();
+	const pairs = new Set<ChannelPair>();
 	let delays = {from: 0.2, to: 1.5};
 	let side: ReadonlySet<string> | undefined;
 
@@ -53,14 +53,14 @@
 	const isCut = (left: string, right: string) =>
 		side !== undefined && side.has(left) !== side.has(right);
 
-	const breakPair = (pair: Pair) => {
+	const breakPair = (pair: ChannelPair) => {
 		pairs.delete(pair);
 		for (const end of pair.ends) {
 			end.break();
 		}
 	};
 
-	const breakWhere = (isBroken: (pair: Pair) => boolean) => {
+	const breakMatchingPairs = (isBroken: (pair: ChannelPair) => boolean) => {
 		for (const pair of pairs) {
 			if (isBroken(pair)) {
 				breakPair(pair);
@@ -68,22 +68,33 @@
 		}
 	};
 
-	const open = (opener: Endpoint, acceptor: Attached): MessageChannel => {
+	const open = (
+		opener: Endpoint,
+		acceptor: AttachedEndpoint,
+	): MessageChannel => {
 		const link = {
 			clock,
 			drawDelay,
 			isCut: () => isCut(opener.identity.node, acceptor.identity.node),
 		};
-		const here = createChannelEnd(link, acceptor.identity, opener.gate);
-		const there = createChannelEnd(link, opener.identity, acceptor.gate);
-		here.connect(there);
-		there.connect(here);
+		const openerEnd = createChannelEnd(
+			link,
+			acceptor.identity,
+			opener.execution,
+		);
+		const acceptorEnd = createChannelEnd(
+			link,
+			opener.identity,
+			acceptor.execution,
+		);
+		openerEnd.connect(acceptorEnd);
+		acceptorEnd.connect(openerEnd);
 		pairs.add({
-			ends: [here, there],
+			ends: [openerEnd, acceptorEnd],
 			nodes: [opener.identity.node, acceptor.identity.node],
 		});
-		acceptor.accept(there);
-		return here;
+		acceptor.accept(acceptorEnd);
+		return openerEnd;
 	};
 
 	const connect = async (
@@ -99,16 +110,16 @@
 		}
 
 		return new Promise((resolve) => {
-			let isOver = false;
+			let isFinished = false;
 			const finish = (channel?: MessageChannel) => {
-				isOver = true;
+				isFinished = true;
 				timer.cancel();
 				resolve(channel);
 			};
 
-			const timer = clock.setTimer(connectTimeout, finish);
-			acceptor.gate.run(() => {
-				if (!isOver && attached.get(address) === acceptor) {
+			const timer = clock.setTimer(connectTimeoutMs, finish);
+			acceptor.execution.run(() => {
+				if (!isFinished && attached.get(address) === acceptor) {
 					finish(open(opener, acceptor));
 				}
 			});
@@ -117,11 +128,11 @@
 
 	return {
 		attach(endpoint) {
-			const entry: Attached = {...endpoint, accept: () => undefined};
+			const entry: AttachedEndpoint = {...endpoint, accept: () => undefined};
 			attached.set(endpoint.address, entry);
 			return {
 				connect: async (address) =>
-					endpoint.gate.hold(connect(endpoint, address)),
+					endpoint.execution.hold(connect(endpoint, address)),
 				accept(handler: (channel: MessageChannel) => void) {
 					entry.accept = handler;
 				},
@@ -132,10 +143,10 @@
 		},
 		detach(endpoint) {
 			attached.delete(endpoint.address);
-			breakWhere(({nodes}) => nodes.includes(endpoint.identity.node));
+			breakMatchingPairs(({nodes}) => nodes.includes(endpoint.identity.node));
 		},
 		cut(node) {
-			breakWhere(({nodes}) => nodes.includes(node));
+			breakMatchingPairs(({nodes}) => nodes.includes(node));
 		},
 		setDelay(from, to) {
 			delays = {from, to};
@@ -144,7 +155,7 @@
 			side = nodes;
 			for (const pair of pairs) {
 				if (isCut(...pair.nodes) && random.below(2) === 0) {
-					clock.setTimer(keepAlive, () => {
+					clock.setTimer(keepAliveTimeoutMs, () => {
 						if (isCut(...pair.nodes)) {
 							breakPair(pair);
 						}
--- a/packages/faults/src/fake-node.ts
+++ b/packages/faults/src/fake-node.ts
@@ -19,7 +19,10 @@
 import type {FakeNetwork} from './fake-network.js';
 import type {FakeTarget} from './fake-target.js';
 import type {Handlers} from './handlers.js';
-import {createProcessGate, type ProcessGate} from './process-gate.js';
+import {
+	createProcessExecution,
+	type ProcessExecution,
+} from './process-execution.js';
 
 /** What a node is built from. */
 export type FakeNodeOptions = {
@@ -40,7 +43,7 @@
 
 /** One start of the node's process. */
 export type FakeProcess = {
-	gate: ProcessGate;
+	execution: ProcessExecution;
 	core: NodeCore;
 	control: Control;
 	/** Ends it without a farewell. */
@@ -51,23 +54,23 @@
 export const fakeService = 'bookings';
 
 /** Milliseconds of a key's longest life in the schedules. */
-export const longestKeyLife = 60_000;
+export const maxKeyLifetimeMs = 60_000;
 
 /** Starts the process; its incarnation is the wall time. */
 export function startFakeNode(options: FakeNodeOptions): FakeProcess {
 	const {name, dataCentre, network, random, recorder, target} = options;
-	const gate = createProcessGate(options.clock, random.fork());
-	const {clock} = gate;
+	const execution = createProcessExecution(options.clock, random.fork());
+	const {clock} = execution;
 	const incarnation = clock.date().getTime();
 	const endpoint = {
 		address: name,
 		identity: {node: name, incarnation, dataCentre},
-		gate,
+		execution,
 	};
 	const supervisor = createSupervisor(clock, ({error}) => {
 		throw error;
 	});
-	const platform = gatePlatform(options.platform, gate);
+	const platform = wrapPlatform(options.platform, execution);
 	const core: NodeCore = createNodeCore({
 		clock,
 		random: random.fork(),
@@ -84,7 +87,7 @@
 		ledger: {
 			capacity: options.ledgerKeys,
 			bytesCapacity: 20_000,
-			maximumLifetime: longestKeyLife,
+			maximumLifetime: maxKeyLifetimeMs,
 		},
 		control: {
 			classify: (service, method, path) =>
@@ -144,36 +147,39 @@
 		slots: options.slots,
 		connections: 50,
 	};
-	core.announce({announcement, client: gateTarget(target, gate)});
+	core.announce({announcement, client: wrapTarget(target, execution)});
 	control.announceTarget(announcement);
 	void control.start(supervisor.signal);
 	void suspectRows.run(supervisor.signal);
 	return {
-		gate,
+		execution,
 		core,
 		control,
 		kill() {
-			gate.kill();
+			execution.kill();
 			network.detach(endpoint);
 			void supervisor.stop();
 		},
 	};
 }
 
-function gateTarget(
+function wrapTarget(
 	{client}: FakeTarget,
-	gate: ProcessGate,
+	execution: ProcessExecution,
 ): FakeTarget['client'] {
 	return {
 		send: async (request, timeLeft, signal) =>
-			gate.hold(client.send(request, timeLeft, signal)),
-		isListening: async () => gate.hold(client.isListening()),
+			execution.hold(client.send(request, timeLeft, signal)),
+		isListening: async () => execution.hold(client.isListening()),
 	};
 }
 
-function gatePlatform(platform: Platform, gate: ProcessGate): Platform {
+function wrapPlatform(
+	platform: Platform,
+	execution: ProcessExecution,
+): Platform {
 	const hold = <T, E>(result: ResultAsync<T, E>) =>
-		new ResultAsync(gate.hold(Promise.resolve(result)));
+		new ResultAsync(execution.hold(Promise.resolve(result)));
 	return {
 		table: {
 			read: (key) => hold(platform.table.read(key)),
--- a/packages/faults/src/fake-target.ts
+++ b/packages/faults/src/fake-target.ts
@@ -14,7 +14,7 @@
 	lost: number;
 	cut: number;
 	/** The path of requests that crash the target. */
-	crashedBy?: string;
+	crashPath?: string;
 };
 
 /** A target with its switches. */
@@ -34,11 +34,11 @@
 	cut: 0,
 };
 
-const connectDelay = 0.3;
+const connectDelayMs = 0.3;
 /** Milliseconds until a target that has crashed is back. */
-const downTime = 1500;
+const restartDelayMs = 1500;
 /** Bounds of a healthy run in milliseconds. */
-const run = {shortest: 2, longest: 40};
+const run = {minDuration: 2, maxDuration: 40};
 
 /** Creates a healthy target. */
 export function createFakeTarget(options: {
@@ -50,33 +50,33 @@
 }): FakeTarget {
 	const {name, slots, clock, random, recorder} = options;
 	const faults = {...noTargetFaults};
-	let killing = new AbortController();
+	let killController = new AbortController();
 	let running = 0;
 	let isDown = false;
 
-	const happens = (share: number) => random.fraction() < share;
+	const drawFault = (share: number) => random.fraction() < share;
 
 	const runRequest = async (
 		request: CallRequest,
 		signal: AbortSignal,
 	): Promise<TargetResult> => {
 		const mark = readMark(request.headers);
-		const stop = AbortSignal.any([signal, killing.signal]);
-		const isCut = happens(faults.cut);
-		const isLost = happens(faults.lost);
+		const stop = AbortSignal.any([signal, killController.signal]);
+		const isCut = drawFault(faults.cut);
+		const isLost = drawFault(faults.lost);
 		recorder.record({
 			kind: 'ran',
 			...mark,
 			target: name,
 			idempotent: request.idempotent,
 		});
-		if (request.path === faults.crashedBy) {
-			clock.setTimer(run.shortest, crash);
+		if (request.path === faults.crashPath) {
+			clock.setTimer(run.minDuration, crash);
 		}
 
 		running++;
 		const duration =
-			run.shortest + random.fraction() * (run.longest - run.shortest);
+			run.minDuration + random.fraction() * (run.maxDuration - run.minDuration);
 		await sleep(clock, duration * faults.slowness, stop);
 		running--;
 		if (stop.aborted || isLost) {
@@ -96,14 +96,14 @@
 	};
 
 	const killRunning = () => {
-		killing.abort();
-		killing = new AbortController();
+		killController.abort();
+		killController = new AbortController();
 	};
 
 	const crash = () => {
 		isDown = true;
 		killRunning();
-		clock.setTimer(downTime, () => {
+		clock.setTimer(restartDelayMs, () => {
 			isDown = false;
 		});
 	};
@@ -115,12 +115,12 @@
 			async send(request, _timeLeft, signal) {
 				const mark = readMark(request.headers);
 				recorder.record({kind: 'handedOver', ...mark, node: name});
-				await sleep(clock, connectDelay);
-				if (isDown || happens(faults.unreachable)) {
+				await sleep(clock, connectDelayMs);
+				if (isDown || drawFault(faults.unreachable)) {
 					return {kind: 'unreachable', detail: 'refused'};
 				}
 
-				if (running >= slots || happens(faults.shed)) {
+				if (running >= slots || drawFault(faults.shed)) {
 					return {kind: 'shed'};
 				}
 
--- a/packages/faults/src/fake-world.ts
+++ b/packages/faults/src/fake-world.ts
@@ -14,12 +14,12 @@
 	platform: MemoryPlatform;
 	targets: FakeTarget[];
 	processes(): FakeProcess[];
-	processOf(name: string): FakeProcess | undefined;
+	findProcess(name: string): FakeProcess | undefined;
 	kill(name: string): void;
 	/** Starts a node that isn't running. */
 	start(name: string): void;
 	/** Plans and confirms a change at some node. */
-	operate(): Promise<void>;
+	changeConfiguration(): Promise<void>;
 	/** Ends every process. */
 	stop(): void;
 };
@@ -91,10 +91,10 @@
 		platform,
 		targets,
 		processes: () => [...processes.values()],
-		processOf: (name) => processes.get(name),
+		findProcess: (name) => processes.get(name),
 		kill,
 		start,
-		async operate() {
+		async changeConfiguration() {
 			const name = names[random.below(names.length)]!;
 			const control = processes.get(name)?.control;
 			const plan = await control?.plan({
--- a/packages/faults/src/fault-kinds.ts
+++ b/packages/faults/src/fault-kinds.ts
@@ -27,7 +27,7 @@
 /** Lets the fault strike; the function that comes back mends it. */
 type Fault = (world: FakeWorld, random: Random) => () => void;
 
-const lossShare = 0.6;
+const faultProbability = 0.6;
 
 /** The faults by name. */
 export const faults: Record<FaultKind, Fault> = {
@@ -39,7 +39,7 @@
 	},
 	cut({network, names}, random) {
 		network.cut(pick(names, random));
-		return nothing;
+		return recoverNothing;
 	},
 	partition({network, names}, random) {
 		const width = 1 + random.below(names.length - 1);
@@ -55,30 +55,30 @@
 			world.start(name);
 		};
 	},
-	freeze({processOf, names}, random) {
-		const process = processOf(pick(names, random));
-		process?.gate.freeze();
+	freeze({findProcess, names}, random) {
+		const process = findProcess(pick(names, random));
+		process?.execution.freeze();
 		return () => {
-			process?.gate.thaw();
+			process?.execution.thaw();
 		};
 	},
 	targetSlow: (world, random) =>
 		setTargetFault(world, random, {slowness: 5 + random.below(60)}),
 	targetKilled({targets}, random) {
 		pick(targets, random).killRunning();
-		return nothing;
+		return recoverNothing;
 	},
 	targetLosesAnswers: (world, random) =>
-		setTargetFault(world, random, {lost: lossShare}),
+		setTargetFault(world, random, {lost: faultProbability}),
 	targetCutsAnswers: (world, random) =>
-		setTargetFault(world, random, {cut: lossShare}),
+		setTargetFault(world, random, {cut: faultProbability}),
 	targetSheds: (world, random) =>
-		setTargetFault(world, random, {shed: lossShare}),
+		setTargetFault(world, random, {shed: faultProbability}),
 	targetUnreachable: (world, random) =>
-		setTargetFault(world, random, {unreachable: lossShare}),
-	leave({processOf, names}, random) {
-		processOf(pick(names, random))?.control.leave();
-		return nothing;
+		setTargetFault(world, random, {unreachable: faultProbability}),
+	leave({findProcess, names}, random) {
+		findProcess(pick(names, random))?.control.leave();
+		return recoverNothing;
 	},
 	platformDown({platform}) {
 		platform.faults.down = true;
@@ -94,12 +94,12 @@
 	},
 	platformLosesAnswers({platform}, random) {
 		platform.faults.lostAnswers += 1 + random.below(4);
-		return nothing;
+		return recoverNothing;
 	},
 	operatorRace(world) {
-		void world.operate();
-		void world.operate();
-		return nothing;
+		void world.changeConfiguration();
+		void world.changeConfiguration();
+		return recoverNothing;
 	},
 };
 
@@ -120,6 +120,6 @@
 	return items[random.below(items.length)]!;
 }
 
-function nothing(): void {
+function recoverNothing(): void {
 	// This fault is over as soon as it has struck.
 }
--- a/packages/faults/src/handlers.ts
+++ b/packages/faults/src/handlers.ts
@@ -47,23 +47,24 @@
 	},
 	withoutLedger: {attempt: attemptWithoutLedger, acceptance},
 	retryUnknown: {attempt: attemptRetryingUnknown, acceptance},
-	timeoutIsNotRun: {attempt: attemptDenyingUnknown, acceptance},
+	timeoutIsNotRun: {attempt: attemptReportingUnknownAsNotRun, acceptance},
 	latestVersion: {
 		attempt: attemptAtMostOnce,
 		acceptance: acceptanceRules.latestHeard,
 	},
 };
 
-const naiveTries = 3;
+const naiveMaxAttempts = 3;
 
-/** No ledger, three tries whatever came back, and what has no answer "was not run". */
+/** No ledger, three attemptsLeft whatever came back, and what has no answer "was not run". */
 async function attemptNaively(
 	options: Parameters<AttemptHandler>[0],
 ): Promise<Outcome> {
-	return attemptDenyingUnknown({
+	return attemptReportingUnknownAsNotRun({
 		...options,
-		ledger: createForgetfulLedger(options),
-		dispatch: async (attempt) => dispatchAgain(options, attempt, naiveTries),
+		ledger: createDisabledLedger(options),
+		dispatch: async (attempt) =>
+			dispatchWithRetries(options, attempt, naiveMaxAttempts),
 	});
 }
 
@@ -73,7 +74,7 @@
 ): Promise<Outcome> {
 	return attemptAtMostOnce({
 		...options,
-		ledger: createForgetfulLedger(options),
+		ledger: createDisabledLedger(options),
 	});
 }
 
@@ -83,12 +84,12 @@
 ): Promise<Outcome> {
 	return attemptAtMostOnce({
 		...options,
-		dispatch: async (attempt) => dispatchAgain(options, attempt, 2),
+		dispatch: async (attempt) => dispatchWithRetries(options, attempt, 2),
 	});
 }
 
 /** Whoever has no answer in time says that it was not run. */
-async function attemptDenyingUnknown(
+async function attemptReportingUnknownAsNotRun(
 	options: Parameters<AttemptHandler>[0],
 ): Promise<Outcome> {
 	const outcome = await attemptAtMostOnce(options);
@@ -100,7 +101,7 @@
 		: outcome;
 }
 
-function createForgetfulLedger({clock}: Parameters<AttemptHandler>[0]) {
+function createDisabledLedger({clock}: Parameters<AttemptHandler>[0]) {
 	return createLedger({
 		clock,
 		capacity: 1,
@@ -109,15 +110,15 @@
 	});
 }
 
-async function dispatchAgain(
+async function dispatchWithRetries(
 	options: Parameters<AttemptHandler>[0],
 	attempt: Attempt,
-	tries: number,
+	attemptsLeft: number,
 ): Promise<Outcome> {
 	const {clock, deadline, signal, dispatch} = options;
 	const outcome = await dispatch(attempt);
 	const ticket = createAttemptTicket({clock, deadline, signal});
-	return outcome.kind === 'unknown' && tries > 1 && !ticket.obstacle()
-		? dispatchAgain(options, {...attempt, ticket}, tries - 1)
+	return outcome.kind === 'unknown' && attemptsLeft > 1 && !ticket.obstacle()
+		? dispatchWithRetries(options, {...attempt, ticket}, attemptsLeft - 1)
 		: outcome;
 }
--- a/packages/faults/src/process-gate.ts
+++ b/packages/faults/src/process-execution.ts
@@ -5,7 +5,7 @@
 import type {Clock, Random} from '@egretspoke/shared';
 
 /** Where everything that enters a process passes. */
-export type ProcessGate = {
+export type ProcessExecution = {
 	/** The clock as the process has it. */
 	clock: Clock;
 	state(): 'running' | 'frozen' | 'dead';
@@ -19,18 +19,21 @@
 	kill(): void;
 };
 
-type Held = {kind: 'timer' | 'input'; callback: () => void};
+type DeferredCallback = {kind: 'timer' | 'input'; callback: () => void};
 
 /** Creates a running process. */
-export function createProcessGate(clock: Clock, random: Random): ProcessGate {
+export function createProcessExecution(
+	clock: Clock,
+	random: Random,
+): ProcessExecution {
 	let state: 'running' | 'frozen' | 'dead' = 'running';
-	let held: Held[] = [];
+	let deferred: DeferredCallback[] = [];
 
-	const pass = (kind: Held['kind'], callback: () => void) => {
+	const pass = (kind: DeferredCallback['kind'], callback: () => void) => {
 		if (state === 'running') {
 			callback();
 		} else if (state === 'frozen') {
-			held.push({kind, callback});
+			deferred.push({kind, callback});
 		}
 	};
 
@@ -78,8 +81,8 @@
 
 			state = 'running';
 			const first = random.below(2) === 0 ? 'timer' : 'input';
-			const due = held;
-			held = [];
+			const due = deferred;
+			deferred = [];
 			for (const {kind, callback} of [
 				...due.filter((each) => each.kind === first),
 				...due.filter((each) => each.kind !== first),
@@ -92,7 +95,7 @@
 		},
 		kill() {
 			state = 'dead';
-			held = [];
+			deferred = [];
 		},
 	};
 }
--- a/packages/faults/src/request-mark.ts
+++ b/packages/faults/src/request-mark.ts
@@ -4,7 +4,7 @@
 export type RequestMark = {attempt: string; key: string};
 
 const names = {attempt: 'x-attempt', key: 'x-key'} as const;
-const longestAnswer = 2000;
+const maxAnswerLength = 2000;
 
 /** Headers that carry the mark. */
 export function writeMark(mark: RequestMark): Record<string, string> {
@@ -22,6 +22,6 @@
 /** The one right answer to a key: its length and its bytes depend on the key. */
 export function writeAnswerBody(key: string): Uint8Array {
 	const line = `answer to ${key};`;
-	const length = line.length + ((key.length * 7919) % longestAnswer);
+	const length = line.length + ((key.length * 7919) % maxAnswerLength);
 	return new TextEncoder().encode(line.repeat(200).slice(0, length));
 }
--- a/packages/faults/src/schedule.ts
+++ b/packages/faults/src/schedule.ts
@@ -39,7 +39,7 @@
 const requestCount = 40;
 /** Has no factor in common with the number of combinations. */
 const combinationStep = 67;
-const warmUpDraws = 32;
+const discardedDraws = 32;
 /** Changes of the configuration, besides those of the faults. */
 const changeCount = 4;
 /** Milliseconds: when requests and faults begin and for how long, and the ends. */
@@ -74,7 +74,11 @@
 	});
 	const draw = random.fork();
 	for (let change = 0; change < changeCount; change++) {
-		void startAt(clock, draw.below(times.lastChange), world.operate);
+		void startAt(
+			clock,
+			draw.below(times.lastChange),
+			world.changeConfiguration,
+		);
 	}
 
 	for (let number = 0; number < requestCount; number++) {
@@ -105,18 +109,18 @@
  * take each of them once, in an order that spreads a short range over all.
  */
 function chooseKinds(seed: number): FaultKind[] {
-	const alone = faultKinds.map((kind) => [kind]);
+	const singles = faultKinds.map((kind) => [kind]);
 	const pairs = faultKinds.flatMap((first, index) =>
 		faultKinds.slice(index).map((second) => [first, second]),
 	);
-	const combinations = [...alone, ...pairs];
+	const combinations = [...singles, ...pairs];
 	return combinations[(seed * combinationStep) % combinations.length]!;
 }
 
 /** The first numbers of neighbouring seeds are much alike, so they are thrown away. */
 function createScheduleRandom(seed: number): Random {
 	const random = createRandom(seed);
-	for (let draw = 0; draw < warmUpDraws; draw++) {
+	for (let draw = 0; draw < discardedDraws; draw++) {
 		random.fraction();
 	}
 
@@ -131,8 +135,8 @@
 	// Up to beyond the lease, so that some nodes wake as absent.
 	const duration = 50 + random.below(random.below(2) === 0 ? 700 : 4500);
 	clock.setTimer(at, () => {
-		const mend = faults[kind](world, random);
-		clock.setTimer(duration, mend);
+		const recover = faults[kind](world, random);
+		clock.setTimer(duration, recover);
 	});
 }
 
--- a/packages/node/__tests__/process-cluster.ts
+++ b/packages/node/__tests__/process-cluster.ts
@@ -10,7 +10,7 @@
 import {
 	readStartedNode,
 	readText,
-	scriptBeside,
+	resolveScript,
 	startChild,
 	type Child,
 } from '@egretspoke/stand-ins';
@@ -74,7 +74,7 @@
 		return child;
 	};
 
-	const platform = start(scriptBeside(standIns, 'platform-main.js'));
+	const platform = start(resolveScript(standIns, 'platform-main.js'));
 	const platformAddress = await platform.waitFor((line) =>
 		readText(line, 'address'),
 	);
@@ -82,7 +82,7 @@
 	return {
 		async startMachine(name, options) {
 			const target = start(
-				scriptBeside(standIns, 'target-main.js'),
+				resolveScript(standIns, 'target-main.js'),
 				JSON.stringify({...options, connections: 64}),
 			);
 			const address = await target.waitFor((line) => readText(line, 'address'));
@@ -102,7 +102,7 @@
 			);
 			const child = start(nodeProgram, '--settings', file);
 			const {caller, admin} = await child.waitFor(readStartedNode);
-			await target.ask(`announce ${caller}`);
+			await target.sendCommand(`announce ${caller}`);
 			return {name, process: child, target, caller, admin};
 		},
 		async waitForMembers({admin}, names) {
@@ -141,7 +141,7 @@
 			};
 		},
 		async runsAt({target}) {
-			const {runs} = (await target.ask('runs')) as {
+			const {runs} = (await target.sendCommand('runs')) as {
 				runs: Record<string, number>;
 			};
 			return runs;
--- a/packages/stand-ins/__tests__/naive-policy.spec.ts
+++ b/packages/stand-ins/__tests__/naive-policy.spec.ts
@@ -2,7 +2,7 @@
 import {ErrorCode} from '@egretspoke/protocol';
 import {createRandom} from '@egretspoke/shared';
 import type {CallFacts, RoutingCandidate} from '@egretspoke/decisions';
-import {naivePolicy, naiveTries} from '../src/index.js';
+import {naivePolicy, naiveMaxAttempts} from '../src/index.js';
 
 const call: CallFacts = {
 	id: '1',
@@ -11,7 +11,7 @@
 	caller: 'somebody',
 	operation: 'GET /orders',
 	deadline: 0,
-	attempts: naiveTries,
+	attempts: naiveMaxAttempts,
 	idempotent: false,
 };
 
--- a/packages/stand-ins/src/child-process.ts
+++ b/packages/stand-ins/src/child-process.ts
@@ -28,16 +28,16 @@
 	/** Resolves with the first line, written already or yet to come, that the function reads as something. */
 	waitFor<T>(read: (line: string) => T | undefined): Promise<T>;
 	/** Writes a line and resolves with the next line of output. */
-	ask(line: string): Promise<unknown>;
+	sendCommand(line: string): Promise<unknown>;
 	signal(name: NodeJS.Signals): void;
 	/** Kills it, if it still runs, and waits. */
 	kill(): Promise<void>;
 };
 
-const running = new Set<ChildProcess>();
+const runningChildren = new Set<ChildProcess>();
 
 process.once('exit', () => {
-	for (const child of running) {
+	for (const child of runningChildren) {
 		child.kill('SIGKILL');
 	}
 });
@@ -56,7 +56,7 @@
 	const lines: string[] = [];
 	const watchers = new Set<(line: string | undefined) => void>();
 	let errors = '';
-	const tell = (line: string | undefined) => {
+	const notifyWatchers = (line: string | undefined) => {
 		for (const watcher of watchers) {
 			watcher(line);
 		}
@@ -64,15 +64,15 @@
 
 	createInterface({input: child.stdout}).on('line', (line) => {
 		lines.push(line);
-		tell(line);
+		notifyWatchers(line);
 	});
 	child.stderr.on('data', (chunk: Uint8Array) => {
 		errors += String(chunk);
 	});
-	running.add(child);
+	runningChildren.add(child);
 	const exited = waitForExit(child, () => {
-		running.delete(child);
-		tell(undefined);
+		runningChildren.delete(child);
+		notifyWatchers(undefined);
 	});
 
 	const waitFrom = async <T>(
@@ -113,7 +113,7 @@
 		errors: () => errors,
 		exited,
 		waitFor: async (read) => waitFrom(0, read),
-		async ask(line) {
+		async sendCommand(line) {
 			const answer = waitFrom(lines.length, readJson);
 			child.stdin.write(`${line}\n`);
 			return answer;
--- a/packages/stand-ins/src/memory-platform.ts
+++ b/packages/stand-ins/src/memory-platform.ts
@@ -30,7 +30,7 @@
 	faults: PlatformFaults;
 	counters: PlatformCounters;
 	/** The platform as seen from a place that may be cut off from it. */
-	seenFrom(isCutOff: () => boolean): Platform;
+	connectFrom(isCutOff: () => boolean): Platform;
 };
 
 /** Milliseconds after which a client of a slow platform gives up. */
@@ -48,7 +48,7 @@
 	const objects = new Map<string, string>();
 	const sequence = {next: 1};
 
-	const read = <T>(isCutOff: () => boolean, look: () => T) =>
+	const read = <T>(isCutOff: () => boolean, lookUp: () => T) =>
 		run(async () => {
 			counters.reads++;
 			if (isCutOff() || faults.down) {
@@ -62,7 +62,7 @@
 
 			return delay > timeout || faults.down || isCutOff()
 				? err(unavailable)
-				: ok(look());
+				: ok(lookUp());
 		});
 
 	const write = <T>(
@@ -95,7 +95,7 @@
 			return isCutOff() ? err(unknown) : result;
 		});
 
-	const seenFrom = (isCutOff: () => boolean): Platform => ({
+	const connectFrom = (isCutOff: () => boolean): Platform => ({
 		table: {
 			read: (key) => read(isCutOff, () => rows.get(key)),
 			list: (prefix) => read(isCutOff, () => listRows(rows, prefix)),
@@ -112,7 +112,7 @@
 		},
 	});
 
-	return {...seenFrom(() => false), faults, counters, seenFrom};
+	return {...connectFrom(() => false), faults, counters, connectFrom};
 }
 
 const unavailable: PlatformError = {
--- a/packages/stand-ins/src/naive-policy.ts
+++ b/packages/stand-ins/src/naive-policy.ts
@@ -15,10 +15,10 @@
 } from '@egretspoke/decisions';
 
 /** Tries at each layer, the first one included. */
-export const naiveTries = 3;
+export const naiveMaxAttempts = 3;
 
 /** The level that lets everything in. */
-const openLevel = 383;
+const acceptAllLevel = 383;
 
 /** The naive entry of the table of policies. */
 export const naivePolicy: Policy = {
@@ -47,7 +47,7 @@
 			limit: Number.MAX_SAFE_INTEGER,
 			waiting: 0,
 			queueDelay: 0,
-			level: openLevel,
+			level: acceptAllLevel,
 			serviceTime: 0,
 		}),
 	};
@@ -56,7 +56,7 @@
 /** Round robin, and another try after any failure while tries are left. */
 function createNaiveRouting(): RoutingPolicy {
 	const candidates = new Map<string, RoutingCandidate[]>();
-	const turn = new Map<string, number>();
+	const nextIndex = new Map<string, number>();
 
 	return {
 		candidatesChanged(service, list) {
@@ -67,8 +67,8 @@
 		},
 		choose({service}) {
 			const list = candidates.get(service) ?? [];
-			const index = turn.get(service) ?? 0;
-			turn.set(service, index + 1);
+			const index = nextIndex.get(service) ?? 0;
+			nextIndex.set(service, index + 1);
 			const chosen = list[index % list.length];
 			return chosen === undefined
 				? refuse(ErrorCode.NoTarget, 'no candidate is known')
@@ -87,7 +87,7 @@
 			attempts > 1
 				? {kind: 'retry', delay: 0, exclude: [], reason: 'a try is left'}
 				: refuse(ErrorCode.AttemptsSpent, 'no try is left'),
-		downstreamAttempts: () => naiveTries,
+		downstreamAttempts: () => naiveMaxAttempts,
 	};
 }
 
--- a/packages/stand-ins/src/process-lines.ts
+++ b/packages/stand-ins/src/process-lines.ts
@@ -3,9 +3,9 @@
 import {fileURLToPath} from 'node:url';
 import {readJson} from './child-process.js';
 
-/** The script beside a package's door; the door comes from `import.meta.resolve`. */
-export function scriptBeside(door: string, script: string): string {
-	return path.join(path.dirname(fileURLToPath(door)), script);
+/** The script beside a package's packageEntry; the packageEntry comes from `import.meta.resolve`. */
+export function resolveScript(packageEntry: string, script: string): string {
+	return path.join(path.dirname(fileURLToPath(packageEntry)), script);
 }
 
 /** A text of a line of JSON. */
--- a/packages/stand-ins/src/target-stand-in.ts
+++ b/packages/stand-ins/src/target-stand-in.ts
@@ -80,7 +80,7 @@
 			await sleep(options.clock, options.serviceTime);
 		}
 
-		const deeper = await callDeeper(agent, {...options, node}, request);
+		const deeper = await callServices(agent, {...options, node}, request);
 		running--;
 		const isOk = deeper.every(({status}) => status < 400);
 		response.writeHead(isOk ? 200 : 502, {'content-type': 'application/json'});
@@ -90,7 +90,7 @@
 			requestClass: readHeader(request, headerNames.requestClass),
 			millisecondsLeft: Number(readHeader(request, headerNames.deadline)),
 			attemptsLeft: Number(readHeader(request, headerNames.attempts)),
-			deeper: deeper.map(({answer: below}) => below),
+			deeper: deeper.map(({answer: callAnswer}) => callAnswer),
 		};
 		response.end(JSON.stringify({...answer, received: body.length}));
 	};
@@ -126,7 +126,7 @@
 	};
 }
 
-async function callDeeper(
+async function callServices(
 	agent: Agent,
 	options: TargetStandInOptions & {node: string},
 	request: IncomingMessage,
