--- a/packages/benchmark/src/control-fleet.ts
+++ b/packages/benchmark/src/control-fleet.ts
@@ -1,7 +1,7 @@
 /**
- * Many nodes in one process with control only: membership and the watch of
- * the configuration. Messages go through the real codec both ways, as they
- * would over a channel, and are counted at their sender.
+ * Many nodes in one process with control only: membership and the configuration
+ * watch. Messages are encoded and decoded by the real codec, as over a channel,
+ * and counted at their sender.
  */
 import {setImmediate} from 'node:timers/promises';
 import {createControl, type Control, type SendProbe} from '@egretspoke/control';
@@ -21,7 +21,7 @@
 	dataCentre: string;
 	control: Control;
 	tally: NodeTally;
-	/** Ends the node without a farewell. */
+	/** Stops the node without a withdrawal. */
 	stop(): void;
 };
 
@@ -29,15 +29,15 @@
 export type Fleet = {
 	nodes: FleetNode[];
 	platform: MemoryPlatform;
-	/** Tallies of all nodes that ever were, in the order of their starts. */
+	/** Tallies of all nodes, including stopped ones, in the order of their starts. */
 	tallies: NodeTally[];
-	/** Starts a node; a name that ran before takes its address anew. */
+	/** Starts a node; a restarted node reuses its address. */
 	start(index: number): Promise<FleetNode>;
-	/** Cuts a data centre off from the others, or none. */
+	/** Isolates a data centre from the others; undefined ends the isolation. */
 	isolate(dataCentre: string | undefined): void;
 };
 
-/** Data centres at the two-year size. */
+/** Number of data centres expected in two years. */
 const dataCentres = 6;
 
 const services = 26;
--- a/packages/benchmark/src/control-slopes.ts
+++ b/packages/benchmark/src/control-slopes.ts
@@ -1,8 +1,8 @@
 /**
- * What control costs each node as the number of nodes grows: in steady state,
- * at a change of the configuration, while nodes restart one after another, and
- * when a data centre comes back. Real time; the network and the platform are
- * in memory, so waits of the real ones are not in the figures.
+ * Measures the cost of control for each node as the number of nodes grows: in
+ * steady state, at a configuration change, during a rolling restart, and when an
+ * isolated data centre reconnects. Runs in real time; the network and the
+ * platform are in memory, so the figures exclude their latencies.
  */
 import process from 'node:process';
 import {setTimeout as wait} from 'node:timers/promises';
@@ -10,25 +10,25 @@
 import {createFleet, type Fleet, type FleetNode} from './control-fleet.js';
 import {round, startWindow, type PhaseFigures} from './control-tally.js';
 
-/** The figures of one number of nodes. */
+/** Result for one number of nodes. */
 export type SlopeResult = {
 	nodes: number;
-	/** Heap that a node adds, in kilobytes, its view of all members included. */
+	/** Heap of a node in kilobytes, including its member list. */
 	heapKilobytesPerNode: number;
 	steady: PhaseFigures;
 	configurationChange: PhaseFigures & {
-		/** Until every node has it in force; absent if not within the window. */
+		/** Time until the change is in force on every node; undefined if not within the window. */
 		secondsUntilInForce: number | undefined;
 	};
-	/** One graceful restart a second. */
+	/** Rolling restart at one graceful restart a second. */
 	rollingRestart: PhaseFigures & {restarts: number};
 	dataCentreReturns: PhaseFigures & {
-		/** Until every node knows all others as active again. */
+		/** Time until every node lists all others as active again. */
 		secondsUntilWhole: number | undefined;
 	};
 };
 
-/** Until the news of the starts have been told, or nearly so at the largest number. */
+/** Time for the gossip about the starts to settle; at the largest number of nodes, nearly so. */
 const settleSeconds = (nodes: number) => Math.min(45, Math.max(4, nodes / 4));
 
 const steadySeconds = 8;
@@ -38,12 +38,12 @@
 const returnSeconds = 20;
 const pollMilliseconds = 50;
 
-/** Measures one number of nodes; takes up to two minutes. */
+/** Measures one number of nodes. Takes up to two minutes. */
 export async function measureSlope(nodes: number): Promise<SlopeResult> {
 	const before = measureHeap();
 	const fleet = createFleet(createRandom(nodes));
 	for (let index = 0; index < nodes; index++) {
-		// eslint-disable-next-line no-await-in-loop -- the nodes start one after another.
+		// eslint-disable-next-line no-await-in-loop -- sequential starts.
 		await fleet.start(index);
 	}
 
@@ -102,7 +102,7 @@
 ): Promise<SlopeResult['rollingRestart']> {
 	const end = startWindow(fleet.tallies, fleet.platform.counters);
 	for (let index = 0; index < restarts; index++) {
-		// eslint-disable-next-line no-await-in-loop -- one restart after another.
+		// eslint-disable-next-line no-await-in-loop -- sequential restarts.
 		await restart(fleet, index % fleet.nodes.length);
 	}
 
@@ -138,7 +138,7 @@
 	return members.filter(({state}) => state === 'active').length === count;
 }
 
-/** Waits for the whole window; the seconds until the condition first held. */
+/** Waits for the whole window; resolves with the seconds until the condition first held. */
 async function waitUntil(
 	seconds: number,
 	condition: () => boolean,
@@ -151,7 +151,7 @@
 			reachedAt = round(elapsed(), 2);
 		}
 
-		// eslint-disable-next-line no-await-in-loop -- one look after another.
+		// eslint-disable-next-line no-await-in-loop -- polling interval.
 		await wait(pollMilliseconds);
 	}
 
@@ -162,7 +162,7 @@
 	await wait(seconds * 1000);
 }
 
-/** Bytes of the heap that are in use; exact where the collector may be called. */
+/** Heap in use in bytes; exact only when `gc` is exposed. */
 function measureHeap(): number {
 	globalThis.gc?.();
 	return process.memoryUsage().heapUsed;
--- a/packages/benchmark/src/control-tally.ts
+++ b/packages/benchmark/src/control-tally.ts
@@ -1,33 +1,33 @@
-/** What control sends and uses, counted between two marks. */
+/** Measures traffic, processor time and platform calls of control during a window. */
 import process from 'node:process';
 import type {PlatformCounters} from '@egretspoke/stand-ins';
 
-/** Counts of one node's sends. */
+/** Bytes and messages that a node has sent. */
 export type NodeTally = {bytes: number; messages: number};
 
-/** What a window of a phase cost. */
+/** Costs during the window of one phase. */
 export type PhaseFigures = {
 	seconds: number;
-	/** Bytes of encoded messages that a node sends a second, on average and at the busiest node. */
+	/** Bytes of encoded messages that a node sends a second: average, and maximum over the nodes. */
 	payloadBytesPerSecond: number;
 	payloadBytesPerSecondAtMost: number;
-	/** The same with `framingBytes` for each message, which is assumed. */
+	/** The average including an assumed `framingBytes` for each message. */
 	bytesPerSecond: number;
 	messagesPerSecond: number;
-	/** Per cent of one core for each node, codec and sends in memory included. */
+	/** Per cent of one core for each node, including the codec and in-memory sends. */
 	processorShare: number;
-	/** Of all nodes together. */
+	/** Totals over all nodes. */
 	tableReadsPerSecond: number;
 	tableWritesPerSecond: number;
 };
 
 /**
- * Bytes around a message on the wire: 8 of a masked WebSocket frame, 52 of TCP
- * and IP with time stamps. An acknowledgement of TCP alone isn't counted.
+ * Overhead of a message on the wire in bytes: 8 for a masked WebSocket frame, 52
+ * for TCP and IP with timestamps. Bare TCP acknowledgements are excluded.
  */
 export const framingBytes = 60;
 
-/** Begins a window; the function that comes back ends it. */
+/** Starts a window; the returned function ends it and returns the figures. */
 export function startWindow(
 	tallies: NodeTally[],
 	counters: PlatformCounters,
@@ -63,7 +63,7 @@
 	};
 }
 
-/** Rounds to so many decimals. */
+/** Rounds to a number of decimals. */
 export function round(value: number, decimals = 0): number {
 	return Number(value.toFixed(decimals));
 }
--- a/packages/benchmark/src/decision-benchmark.ts
+++ b/packages/benchmark/src/decision-benchmark.ts
@@ -1,8 +1,8 @@
 /**
- * What one decision costs, in nanoseconds: the choice of a target and the
- * bookkeeping around it with so many targets known, and the admission of a
- * request at a target that is saturated. Each figure is the median over
- * batches, so that a pause of the collector doesn't count.
+ * Measures the cost of a decision in nanoseconds: the selection of a target and
+ * its bookkeeping for a given number of targets, and the admission of a request
+ * at a saturated target. Each figure is the median over batches, which excludes
+ * garbage collection pauses.
  */
 import {performance} from 'node:perf_hooks';
 import {createRandom} from '@egretspoke/shared';
@@ -16,22 +16,22 @@
 } from '@egretspoke/decisions';
 import {computeMedianCost} from './median.js';
 
-/** Median nanoseconds of each decision. */
+/** Median cost of each decision in nanoseconds. */
 export type DecisionCosts = {
 	choose: number;
 	/** `started`, `observe` and `finished` together. */
 	learn: number;
-	/** `arrive`, whatever it decides. */
+	/** `arrive`, for any decision. */
 	arrive: number;
-	/** `finish` and `turns` together, for each request that ended. */
+	/** `finish` and `processQueue` together, for each finished request. */
 	finish: number;
 };
 
 const batches = 4000;
 const warmUpBatches = 1000;
-/** Requests of a batch, and the milliseconds of virtual time it stands for. */
+/** Requests a batch, which is also its duration in milliseconds of virtual time. */
 const batchSize = 20;
-/** Of these so many end in the time: the slots run half of what arrives. */
+/** Requests that finish a batch: the slots handle half of the arrivals. */
 const endedPerBatch = 10;
 const dataCentres = ['one', 'two', 'three'];
 const classes = ['essential', 'normal', 'deferrable'] as const;
@@ -45,7 +45,7 @@
 	serviceTime: 60,
 };
 
-/** Measures with so many targets of one service. */
+/** Measures with a number of targets of one service. */
 export function measureDecisions(targets: number): DecisionCosts {
 	return {...measureRouting(targets), ...measureAdmission()};
 }
@@ -134,7 +134,7 @@
 	};
 }
 
-/** Ends the requests; returns what began in their place. */
+/** Finishes the requests; returns the ids of those dispatched from the queue. */
 function finishAll(
 	admission: AdmissionPolicy,
 	ended: string[],
--- a/packages/benchmark/src/decisions-main.ts
+++ b/packages/benchmark/src/decisions-main.ts
@@ -1,15 +1,15 @@
-/** The command line of the benchmark of decisions. */
+/** Command line of the decision benchmark. */
 import process from 'node:process';
 import {Command} from 'commander';
 import {measureDecisions} from './decision-benchmark.js';
 import {measureQuarantine} from './quarantine-cost.js';
 
-/** The targets of today and those of the two-year size. */
+/** Current number of targets, and the number expected in two years. */
 const sizes = [26, 570];
 
 const program = new Command()
 	.name('benchmark:decisions')
-	.description('Measures what a decision costs, by targets known.')
+	.description('Measures the cost of a decision by the number of targets.')
 	.option('--json', 'print one JSON object')
 	.addHelpText(
 		'after',
--- a/packages/benchmark/src/live-benchmark.ts
+++ b/packages/benchmark/src/live-benchmark.ts
@@ -1,9 +1,9 @@
 /**
- * The live benchmark: what egretspoke adds to a call. The same target is
- * called directly, through a process that only forwards, through its own node
- * (one hop) and through an entry node (two hops), in turns within one run, so
- * that all meet the same machine. Before that, every way is warmed up: code that
- * hasn't been compiled yet costs several times as much, and a node runs for days.
+ * Live benchmark: measures what egretspoke adds to a call. The same target is
+ * called directly, through a plain proxy, through its own node (one hop) and
+ * through an entry node (two hops). The ways alternate within one run, so that
+ * the machine's load affects all of them equally. Each is warmed up first:
+ * uncompiled code costs several times as much, and a node runs for days.
  */
 import type {Histogram} from 'hdr-histogram-js';
 import {Agent} from 'undici';
@@ -15,44 +15,44 @@
 import {createLatencyHistogram, runOpenLoop} from './open-loop.js';
 import {readUsage, type ProcessUsage} from './process-usage.js';
 
-/** What to measure. */
+/** Options of the benchmark. */
 export type LiveOptions = {
 	/** Calls a second. */
 	rates: number[];
-	/** Turns of each way at each rate. */
+	/** Measured intervals of each way at each rate. */
 	rounds: number;
-	/** Seconds of each turn, and those of them that aren't counted. */
+	/** Duration of an interval, and its uncounted warm-up, in seconds. */
 	duration: number;
 	warmUp: number;
-	/** Seconds for which each way is warmed up before anything counts. */
+	/** Warm-up of each way before all measurements, in seconds. */
 	warmTime: number;
-	/** Bytes of each body. */
+	/** Size of a request body in bytes. */
 	bodySize: number;
-	/** The share of calls whose decisions are logged. */
+	/** Ratio of calls whose decisions are logged. */
 	logSample: number;
 };
 
-/** Milliseconds. */
+/** Latency quantiles in milliseconds. */
 export type Quantiles = {p50: number; p99: number; p999: number};
 
-/** One way at one rate. */
+/** Result of one way at one rate. */
 export type WayResult = {
 	way: WayName;
 	latency: Quantiles;
-	/** The way's quantile less the direct one's. */
+	/** Difference to the quantiles of direct calls. */
 	added: Quantiles;
 	failed: number;
-	/** Milliseconds of processor time that nodes, or the forwarder, spent on a call. */
+	/** Processor time of nodes, or of the forwarder, for a call in milliseconds. */
 	processorTimePerCall: number;
 };
 
 type ByProcess = {forwarder: number; targetNode: number; entryNode: number};
 
-/** All that was measured. Memory in megabytes. */
+/** Result of the benchmark; memory in megabytes. */
 export type LiveResult = {
 	options: LiveOptions;
 	idleMemory: ByProcess;
-	/** Share of a core that a node spent while idle. */
+	/** Ratio of a core that an idle process uses. */
 	idleProcessorShare: ByProcess;
 	rates: Array<{
 		rate: number;
@@ -61,7 +61,7 @@
 	}>;
 };
 
-/** The ways to the target. */
+/** The measured ways to the target. */
 export type WayName = 'direct' | 'forwarded' | 'oneHop' | 'twoHops';
 
 const ways: Record<WayName, (processes: LiveProcesses) => string> = {
@@ -75,10 +75,10 @@
 const megabyte = 1024 * 1024;
 const idleSeconds = 5;
 const clientConnections = 64;
-/** Calls a second while warming up. */
+/** Calls a second during the warm-up. */
 const warmUpRate = 1000;
 
-/** Runs the whole benchmark; progress goes to the function. */
+/** Runs the benchmark and reports its progress to `logProgress`. */
 export async function runLiveBenchmark(
 	options: LiveOptions,
 	logProgress: (line: string) => void,
@@ -89,7 +89,7 @@
 		const idle = await measureIdle(processes);
 		logProgress('warming up');
 		for (const way of wayNames) {
-			// eslint-disable-next-line no-await-in-loop -- the ways take turns.
+			// eslint-disable-next-line no-await-in-loop -- the ways alternate.
 			await measureInterval(processes, way, warmUpRate, {
 				...options,
 				duration: options.warmTime,
@@ -98,7 +98,7 @@
 
 		const rates = [];
 		for (const rate of options.rates) {
-			// eslint-disable-next-line no-await-in-loop -- one rate after another.
+			// eslint-disable-next-line no-await-in-loop -- rates are measured sequentially.
 			rates.push(await measureRate(processes, rate, options, logProgress));
 		}
 
@@ -146,10 +146,10 @@
 		]),
 	);
 	for (let currentRound = 1; currentRound <= options.rounds; currentRound++) {
-		logProgress(`${rate} calls/s, turn ${currentRound} of ${options.rounds}`);
+		logProgress(`${rate} calls/s, round ${currentRound} of ${options.rounds}`);
 		for (const way of wayNames) {
 			const tally = tallies.get(way)!;
-			// eslint-disable-next-line no-await-in-loop -- the ways take turns.
+			// eslint-disable-next-line no-await-in-loop -- the ways alternate.
 			const measured = await measureInterval(processes, way, rate, options);
 			tally.latencies.add(measured.latencies);
 			tally.failed += measured.failed;
--- a/packages/benchmark/src/live-processes.ts
+++ b/packages/benchmark/src/live-processes.ts
@@ -1,7 +1,7 @@
 /**
- * The processes of the live benchmark on loopback: the platform's stand-in, a
- * target with no work of its own, its node, and an entry node without a
- * target.
+ * Starts the processes of the live benchmark on loopback: the platform's
+ * stand-in, a target with zero service time, its node, and an entry node without
+ * a target.
  */
 import {mkdtemp, rm, writeFile} from 'node:fs/promises';
 import {tmpdir} from 'node:os';
@@ -16,28 +16,28 @@
 import {request} from 'undici';
 import {planSchema} from '@egretspoke/protocol';
 
-/** A node of the benchmark. */
+/** A node process of the benchmark. */
 export type LiveNode = {process: Child; caller: string; admin: string};
 
-/** Everything that runs. */
+/** The running processes. */
 export type LiveProcesses = {
-	/** `ip:port` of the target itself. */
+	/** Address of the target, `ip:port`. */
 	target: string;
-	/** A process that only forwards to the target, for comparison. */
+	/** A plain proxy to the target, as a baseline. */
 	forwarder: {process: Child; caller: string};
-	/** The node beside the target, and the entry node. */
+	/** The target's node, and the entry node. */
 	targetNode: LiveNode;
 	entryNode: LiveNode;
 	stop(): Promise<void>;
 };
 
-/** The service of the benchmark. */
+/** The service that the benchmark calls. */
 export const liveService = 'work';
 
 const slots = 200;
 const connections = 256;
 
-/** Starts the processes; resolves when the entry node knows the target. */
+/** Starts the processes; resolves once the entry node reaches the target. */
 export async function startLiveProcesses(
 	logSample: number,
 ): Promise<LiveProcesses> {
@@ -109,7 +109,7 @@
 	};
 }
 
-/** Calls have a body, so they are no GET; the intent says that they are idempotent. */
+/** Confirms an intent that declares the calls idempotent; they have a body and so can't use GET. */
 async function confirmIntent({admin}: LiveNode): Promise<void> {
 	const post = async (call: string, body: unknown) => {
 		const answer = await request(`http://${admin}/v1/${call}`, {
@@ -128,18 +128,18 @@
 
 async function waitForTarget({caller}: LiveNode): Promise<void> {
 	for (;;) {
-		// eslint-disable-next-line no-await-in-loop -- asks until it is served.
+		// eslint-disable-next-line no-await-in-loop -- polled until served.
 		const answer = await request(`http://${caller}/work`, {
 			method: 'PUT',
 			headers: {'egretspoke-service': liveService},
 		});
-		// eslint-disable-next-line no-await-in-loop -- its body belongs to it.
+		// eslint-disable-next-line no-await-in-loop -- read before the next call.
 		await answer.body.dump();
 		if (answer.statusCode === 200) {
 			return;
 		}
 
-		// eslint-disable-next-line no-await-in-loop -- between two tries.
+		// eslint-disable-next-line no-await-in-loop -- polling interval.
 		await new Promise((resolve) => {
 			setTimeout(resolve, 50);
 		});
--- a/packages/benchmark/src/main.ts
+++ b/packages/benchmark/src/main.ts
@@ -1,4 +1,4 @@
-/** The command line of the live benchmark. */
+/** Command line of the live benchmark. */
 import process from 'node:process';
 import {Command, InvalidArgumentError} from 'commander';
 import {runLiveBenchmark, type LiveResult} from './live-benchmark.js';
@@ -18,10 +18,20 @@
 	.name('benchmark')
 	.description('Measures what egretspoke adds to a call, on loopback.')
 	.option('--rates <list>', 'calls a second', parseNumbers, [230, 1500])
-	.option('--rounds <number>', 'turns of each way', parseNumber, 4)
-	.option('--duration <seconds>', 'of each turn', parseNumber, 5)
-	.option('--warm-up <seconds>', 'of each turn, not counted', parseNumber, 1)
-	.option('--warm-time <seconds>', 'of each way, before all', parseNumber, 8)
+	.option('--rounds <number>', 'measured intervals of each way', parseNumber, 4)
+	.option('--duration <seconds>', 'of each interval', parseNumber, 5)
+	.option(
+		'--warm-up <seconds>',
+		'of each interval, not counted',
+		parseNumber,
+		1,
+	)
+	.option(
+		'--warm-time <seconds>',
+		'warm-up of each way before all measurements',
+		parseNumber,
+		8,
+	)
 	.option('--body-size <bytes>', 'of each request', parseNumber, 256)
 	.option('--log-sample <share>', 'of calls logged', parseNumber, 0.01)
 	.option('--json', 'print one JSON object')
--- a/packages/benchmark/src/median.ts
+++ b/packages/benchmark/src/median.ts
@@ -1,6 +1,4 @@
-/** The middle of what batches took. */
-
-/** The median batch, in nanoseconds for one of its decisions. */
+/** Returns the median cost of a decision in nanoseconds, from the durations of batches in milliseconds. */
 export function computeMedianCost(
 	milliseconds: number[],
 	decisions: number,
--- a/packages/benchmark/src/memory-main.ts
+++ b/packages/benchmark/src/memory-main.ts
@@ -1,11 +1,11 @@
-/** The command line of the memory slopes: `npm run --silent memory -- --json`. */
+/** Command line of the memory benchmark: `npm run --silent memory -- --json`. */
 import process from 'node:process';
 import {Command} from 'commander';
 import {measureMemory} from './memory-slopes.js';
 
 const program = new Command()
 	.name('memory')
-	.description('Measures the memory of each piece of state.')
+	.description('Measures the memory of each kind of state.')
 	.option('--json', 'print one JSON object')
 	.addHelpText('after', '\nExample: npm run --silent memory -- --json');
 program.parse();
--- a/packages/benchmark/src/memory-slopes.ts
+++ b/packages/benchmark/src/memory-slopes.ts
@@ -1,7 +1,7 @@
 /**
- * Heap and resident memory by the piece: a key of the ledger, a routing
- * candidate, a remembered decision, an idle connection between two nodes. The
- * capacity page multiplies them by their numbers at the two-year size.
+ * Measures heap and resident memory for each item of state: a ledger key, a
+ * routing candidate, a remembered decision, an idle connection between two
+ * nodes. The capacity page multiplies them by the numbers expected in two years.
  */
 import process from 'node:process';
 import {createEgretspokePolicy} from '@egretspoke/decisions';
@@ -10,7 +10,7 @@
 import {createDecisionMemory} from '@egretspoke/observability';
 import {createRandom, createSystemClock} from '@egretspoke/shared';
 
-/** Bytes a piece, averaged over the number given. */
+/** Bytes an item, averaged over `count` items. */
 export type MemorySlope = {
 	piece: string;
 	count: number;
@@ -20,7 +20,7 @@
 
 type Measured = {
 	count: number;
-	/** Stays reachable until everything has been measured. */
+	/** Keeps the items reachable until all measurements are done. */
 	retained: unknown;
 	close?: () => Promise<void>;
 };
@@ -32,7 +32,7 @@
 const connections = 200;
 const answerSize = 256;
 
-/** Everything that is measured, in its order. */
+/** The measured items, in order. */
 const pieces: Record<string, () => Promise<Measured> | Measured> = {
 	'ledger key with an answer of 256 bytes': fillLedger,
 	'routing candidate': fillRouting,
@@ -40,13 +40,13 @@
 	'both ends of an idle peer connection': openConnections,
 };
 
-/** Measures each piece; needs `--expose-gc`. */
+/** Measures each kind of item; requires `--expose-gc`. */
 export async function measureMemory(): Promise<MemorySlope[]> {
 	const slopes: MemorySlope[] = [];
 	const measuredPieces: Measured[] = [];
 	for (const [piece, fill] of Object.entries(pieces)) {
 		const before = readMemory();
-		// eslint-disable-next-line no-await-in-loop -- one piece after another.
+		// eslint-disable-next-line no-await-in-loop -- sequential measurements.
 		const measured = await fill();
 		measuredPieces.push(measured);
 		const {count} = measured;
@@ -165,7 +165,7 @@
 	const opener = create('opener');
 	const {signal} = new AbortController();
 	for (let index = 0; index < connections; index++) {
-		// eslint-disable-next-line no-await-in-loop -- one connection after another.
+		// eslint-disable-next-line no-await-in-loop -- sequential connections.
 		channels.push(await opener.connect(`127.0.0.1:${port}`, signal));
 	}
 
@@ -180,7 +180,7 @@
 }
 
 function readMemory(): NodeJS.MemoryUsage {
-	// Twice, because what the first run finalizes is freed by the second.
+	// The second collection frees objects that the first one finalized.
 	globalThis.gc?.();
 	globalThis.gc?.();
 	return process.memoryUsage();
--- a/packages/benchmark/src/open-loop.ts
+++ b/packages/benchmark/src/open-loop.ts
@@ -1,14 +1,14 @@
 /**
- * An open-loop load: requests leave at the instants of a fixed schedule,
- * however slow the answers are, and each latency counts from its scheduled
- * instant. A closed loop would wait for a slow answer before it sends the next
- * request and so leave out the very waits that callers feel (coordinated
- * omission; Tene, "How NOT to Measure Latency").
+ * Open-loop load generator: requests are sent on a fixed schedule regardless of
+ * response times, and latencies are measured from the scheduled times. A closed
+ * loop waits for slow responses before it sends the next request, and so omits
+ * the waits that callers experience (coordinated omission; Tene, "How NOT to
+ * Measure Latency").
  */
 import type {Dispatcher} from 'undici';
 import {build, type Histogram} from 'hdr-histogram-js';
 
-/** What to send, how often and for how long. */
+/** Options of the load. */
 export type LoadOptions = {
 	dispatcher: Dispatcher;
 	origin: string;
@@ -18,20 +18,20 @@
 	body: Uint8Array | undefined;
 	/** Requests a second. */
 	rate: number;
-	/** Seconds. */
+	/** Duration in seconds. */
 	duration: number;
-	/** Seconds at the start whose latencies aren't counted. */
+	/** Initial seconds whose latencies are excluded. */
 	warmUp: number;
 };
 
-/** What came back. Latencies in microseconds. */
+/** Result of the load; latencies in microseconds. */
 export type LoadResult = {
 	latencies: Histogram;
 	sent: number;
 	failed: number;
 };
 
-/** An empty histogram of microseconds up to ten seconds, with three digits. */
+/** Creates a histogram of microseconds up to ten seconds, with three significant digits. */
 export function createLatencyHistogram(): Histogram {
 	return build({
 		lowestDiscernibleValue: 1,
@@ -40,7 +40,7 @@
 	});
 }
 
-/** Sends the load and resolves when the last answer is in. */
+/** Sends the load; resolves after the last response. */
 export async function runOpenLoop(options: LoadOptions): Promise<LoadResult> {
 	const {rate, duration, warmUp} = options;
 	const result: LoadResult = {
@@ -70,7 +70,7 @@
 			open.push(sendOne(start + next * spacing));
 		}
 
-		// eslint-disable-next-line no-await-in-loop -- until the next instant of the schedule.
+		// eslint-disable-next-line no-await-in-loop -- until the next scheduled time.
 		await pause(start + next * spacing - performance.now());
 	}
 
@@ -79,9 +79,9 @@
 }
 
 /**
- * Timers of Node are a millisecond coarse; the last stretch before an instant
- * is spent in turns of the event loop, so that the schedule is kept to some
- * tens of microseconds.
+ * Waits for up to `time` milliseconds. Node's timers have a resolution of one
+ * millisecond, so the last two are spent in event loop iterations; this keeps
+ * the schedule within some tens of microseconds.
  */
 async function pause(time: number): Promise<void> {
 	await new Promise<void>((resolve) => {
@@ -107,13 +107,13 @@
 			{origin, path, method, headers, body: body ?? null},
 			{
 				onRequestStart() {
-					// Nothing to do before the answer.
+					// Nothing to do before the response.
 				},
 				onResponseStart(_controller, statusCode) {
 					status = statusCode;
 				},
 				onResponseData() {
-					// The body is read and dropped.
+					// The body is discarded.
 				},
 				onResponseEnd() {
 					resolve(status === 200);
--- a/packages/benchmark/src/quarantine-cost.ts
+++ b/packages/benchmark/src/quarantine-cost.ts
@@ -1,4 +1,4 @@
-/** What the look into the quarantine costs a request, in nanoseconds. */
+/** Measures the cost of a quarantine lookup for a request in nanoseconds. */
 import {performance} from 'node:perf_hooks';
 import {createVirtualClock} from '@egretspoke/shared';
 import {
@@ -9,13 +9,13 @@
 } from '@egretspoke/quarantine';
 import {computeMedianCost} from './median.js';
 
-/** Median nanoseconds of a look. */
+/** Median cost of a lookup in nanoseconds. */
 export type QuarantineCosts = {
-	/** While no target has crashed. */
+	/** No target has crashed. */
 	lookWhenEmpty: number;
-	/** Beside suspects on other paths. */
+	/** All suspects have other paths. */
 	lookOnOtherPath: number;
-	/** At a suspect without a body, and with one of 50 kB. */
+	/** The request is a suspect, without a body and with one of 50 kB. */
 	lookAtSuspect: number;
 	lookAtLargeSuspect: number;
 };
@@ -23,11 +23,11 @@
 const batches = 2000;
 const batchSize = 50;
 const largeBody = 50_000;
-/** Crashes and requests of each that fill a quarantine. */
+/** Number of crashes, and requests of each, that fill a quarantine. */
 const fillingCrashes = 12;
 const requestsOfCrash = 128;
 
-/** Measures. */
+/** Measures lookups in an empty and in a full quarantine. */
 export function measureQuarantine(): QuarantineCosts {
 	const empty = createIsolatedQuarantine();
 	const full = createIsolatedQuarantine();
--- a/packages/benchmark/src/slopes-main.ts
+++ b/packages/benchmark/src/slopes-main.ts
@@ -1,6 +1,6 @@
 /**
- * The command line of the slopes. Each number of nodes is measured in a
- * process of its own, so that processor time and heap are its alone.
+ * Command line of the control benchmark. Each number of nodes is measured in a
+ * separate process, so that processor time and heap are not shared.
  */
 import {execFile} from 'node:child_process';
 import process from 'node:process';
@@ -14,9 +14,11 @@
 
 const program = new Command()
 	.name('slopes')
-	.description('Measures what control costs a node as nodes are added.')
+	.description(
+		'Measures the cost of control for a node by the number of nodes.',
+	)
 	.option('--nodes <list>', 'numbers of nodes', '3,12,48,96,570')
-	.option('--one', 'measure the one number given in this process')
+	.option('--one', 'measure a single number of nodes in this process')
 	.option('--json', 'print one JSON object')
 	.addHelpText('after', '\nExample: npm run --silent slopes -- --json');
 
--- a/packages/faults/__tests__/at-most-once.spec.ts
+++ b/packages/faults/__tests__/at-most-once.spec.ts
@@ -2,9 +2,9 @@
 import {createTestCluster, describeOutcome} from './test-cluster.js';
 
 describe('a payment under one key', () => {
-	it('runs once when it reaches several nodes at once', async () => {
-		// A boat owner taps the button again and again, and each tap reaches
-		// another node. Without a home each node would charge once.
+	it('runs once when several nodes receive it at once', async () => {
+		// A user taps the button repeatedly, and each tap reaches another node.
+		// Without a home, each node would charge once.
 		const cluster = await createTestCluster();
 		const sent = ['vm-0', 'vm-1', 'vm-2', 'vm-3'].flatMap((entry) => [
 			cluster.send('p', {entry}),
@@ -18,9 +18,9 @@
 		expect(cluster.countRuns('p')).to.equal(1);
 	});
 
-	it('gets its answer when it is repeated through another node', async () => {
-		// The phone loses its connection before the receipt arrives, and asks
-		// again wherever it gets through.
+	it('returns its answer when it is repeated through another node', async () => {
+		// The phone loses its connection before the receipt arrives and retries at
+		// another node.
 		const cluster = await createTestCluster();
 		await cluster.sendAndWait('p');
 		const keyExpiry = cluster.clock.date().getTime() + 20_000;
@@ -31,9 +31,9 @@
 		expect(cluster.countRuns('q')).to.equal(1);
 	});
 
-	it('is not tried at a second target when the first lost its answer', async () => {
-		// The target charges and dies before it answers. Nobody can know, and a
-		// second try would charge again.
+	it('is not retried at a second target when the first lost its answer', async () => {
+		// The target charges and crashes before it answers. The outcome is unknown,
+		// and a retry would charge again.
 		const cluster = await createTestCluster();
 		cluster.setTargets({lost: 1});
 		const keyExpiry = cluster.clock.date().getTime() + 20_000;
@@ -46,8 +46,8 @@
 	});
 
 	it('is not run again by a home that was killed and restarted', async () => {
-		// The home's VM is replaced; its memory is gone. The new process under the
-		// same name must not take the payment for a new one.
+		// The home's VM is replaced and its ledger is lost. The new process with the
+		// same name must not treat the payment as new.
 		const cluster = await createTestCluster();
 		const home = cluster.homeAt('vm-0');
 		const keyExpiry = cluster.clock.date().getTime() + 60_000;
@@ -57,7 +57,7 @@
 		cluster.world.start('vm-0');
 		await cluster.wait(6000);
 		for (const entry of ['vm-0', 'vm-2']) {
-			// eslint-disable-next-line no-await-in-loop -- one repeat after another.
+			// eslint-disable-next-line no-await-in-loop -- sequential retries.
 			const end = await cluster.sendAndWait('p', {home, keyExpiry, entry});
 			expect(describeOutcome(end)).to.equal('unknown HomeGone');
 		}
@@ -65,9 +65,9 @@
 		expect(cluster.countRuns('p')).to.equal(1);
 	});
 
-	it('is not run by a home that wakes after the deadline', async () => {
-		// The home is paused with the payment in hand. Its caller gives up, and
-		// must not find the payment made a minute later.
+	it('is not run by a home that resumes after the deadline', async () => {
+		// The home is paused while it holds the payment. Its caller times out, and
+		// the payment must not be made afterwards.
 		const cluster = await createTestCluster();
 		const sent = cluster.send('p');
 		cluster.world.findProcess('vm-0')!.execution.freeze();
@@ -79,9 +79,10 @@
 		expect(cluster.countRuns('p')).to.be.at.most(1);
 	});
 
-	it('is not run elsewhere while its home is cut off', async () => {
-		// The data centre of the home is cut off. The other side can't know
-		// whether the payment ran, and must neither run it nor deny it.
+	it('is not run elsewhere while its home is partitioned', async () => {
+		// The data centre of the home is partitioned. The other side can't determine
+		// whether the payment ran, so it must neither run it nor report it as not
+		// run.
 		const cluster = await createTestCluster();
 		const home = cluster.homeAt('vm-0');
 		const keyExpiry = cluster.clock.date().getTime() + 20_000;
@@ -105,7 +106,7 @@
 		expect(cluster.countRuns('p')).to.equal(1);
 	});
 
-	it('is refused truthfully by a home whose ledger is full', async () => {
+	it('is refused as not run by a home whose ledger is full', async () => {
 		const cluster = await createTestCluster({ledgerKeys: 2});
 		await cluster.sendAndWait('a');
 		await cluster.sendAndWait('b');
@@ -115,8 +116,8 @@
 	});
 
 	it('is refused once its key has expired', async () => {
-		// A phone was switched off and repeats its payment long afterwards, when
-		// its home has forgotten it.
+		// A phone was switched off and repeats its payment long afterwards, when the
+		// home has dropped the key.
 		const cluster = await createTestCluster();
 		const keyExpiry = cluster.clock.date().getTime() + 2000;
 		await cluster.sendAndWait('p', {keyExpiry});
@@ -143,7 +144,7 @@
 		expect(cluster.countRuns('p')).to.equal(1);
 	});
 
-	it('runs at another target after a refusal that its target certifies', async () => {
+	it('runs at another target after a certified refusal', async () => {
 		const cluster = await createTestCluster();
 		for (const target of cluster.world.targets.slice(0, 3)) {
 			target.faults.shed = 1;
@@ -152,7 +153,7 @@
 		const keyExpiry = cluster.clock.date().getTime() + 20_000;
 		const ends: string[] = [];
 		for (let repeat = 0; repeat < 6; repeat++) {
-			// eslint-disable-next-line no-await-in-loop -- one repeat after another.
+			// eslint-disable-next-line no-await-in-loop -- sequential retries.
 			ends.push(describeOutcome(await cluster.sendAndWait('p', {keyExpiry})));
 		}
 
@@ -163,7 +164,7 @@
 
 	describe('at nodes without a ledger', () => {
 		it('runs twice when it is repeated after its answer', async () => {
-			// The check that the cases above can fail.
+			// Verifies that the specs above can fail.
 			const cluster = await createTestCluster({handler: 'withoutLedger'});
 			const keyExpiry = cluster.clock.date().getTime() + 20_000;
 			await cluster.sendAndWait('p', {keyExpiry});
@@ -174,7 +175,7 @@
 			]);
 		});
 
-		it('runs for each copy that is under way at once', async () => {
+		it('runs once for each concurrent copy', async () => {
 			const cluster = await createTestCluster({handler: 'withoutLedger'});
 			const copies = ['vm-0', 'vm-1', 'vm-2', 'vm-3'];
 			const sent = copies.map(async (entry) => cluster.send('p', {entry}));
--- a/packages/faults/__tests__/crashing-request.spec.ts
+++ b/packages/faults/__tests__/crashing-request.spec.ts
@@ -5,18 +5,18 @@
 	type TestCluster,
 } from './test-cluster.js';
 
-/** Targets that a request may crash before it is known, and as often again while nodes hear of it. */
+/** Maximum crashes: 3 before the request is quarantined, and as many until all nodes receive the quarantine. */
 const maxCrashes = 6;
 const deadly = {method: 'GET', path: '/deadly'} as const;
 
-describe('a request that crashes every target that runs it, by our own interface', () => {
+describe('a request that crashes every target that runs it, at the product’s own interface', () => {
 	const createDeadlyCluster = async () => {
 		const cluster = await createTestCluster();
 		cluster.setTargets({crashPath: deadly.path});
 		return cluster;
 	};
 
-	/** Repeats it at one node after the other; gives how the attempts end. */
+	/** Sends it repeatedly, each time to the next node; returns the outcomes. */
 	const repeatRequest = async (
 		cluster: TestCluster,
 		times: number,
@@ -25,22 +25,22 @@
 		const ends: string[] = [];
 		for (let index = 0; index < times; index++) {
 			const entry = `vm-${index % 4}`;
-			// eslint-disable-next-line no-await-in-loop -- one repeat after the other.
+			// eslint-disable-next-line no-await-in-loop -- sequential retries.
 			const result = await cluster.sendAndWait('deadly', {
 				...deadly,
 				entry,
 				...fields,
 			});
 			ends.push(describeOutcome(result));
-			// eslint-disable-next-line no-await-in-loop -- until the targets are back.
+			// eslint-disable-next-line no-await-in-loop -- until the targets have restarted.
 			await cluster.wait(2000);
 		}
 
 		return ends;
 	};
 
-	// Guards against a request that ends one target after the other as its callers repeat it.
-	it('is run by no target any more once three have crashed under it', async () => {
+	// Guards against a request that crashes one target after another because callers retry it.
+	it('is not run after it has crashed three targets', async () => {
 		const cluster = await createDeadlyCluster();
 		const ends = await repeatRequest(cluster, 12);
 		expect(cluster.countRuns('deadly')).to.be.within(3, maxCrashes);
@@ -48,26 +48,26 @@
 		expect(ends.join(' ')).not.to.contain('notRun');
 	});
 
-	// Guards against the same by callers that take a new key each time.
-	it('is run by no target any more though each repeat has a key of its own', async () => {
+	// Guards against the same by callers that use a new key for each attempt.
+	it('is not run after three crashes when each attempt has a new key', async () => {
 		const cluster = await createDeadlyCluster();
 		for (let index = 0; index < 8; index++) {
-			// eslint-disable-next-line no-await-in-loop -- one repeat after the other.
+			// eslint-disable-next-line no-await-in-loop -- sequential retries.
 			const result = await cluster.sendAndWait('deadly', {
 				path: deadly.path,
 				entry: `vm-${index % 4}`,
 				key: `key-${index}`,
 			});
 			expect(describeOutcome(result)).not.to.contain('notRun');
-			// eslint-disable-next-line no-await-in-loop -- until the targets are back.
+			// eslint-disable-next-line no-await-in-loop -- until the targets have restarted.
 			await cluster.wait(2000);
 		}
 
 		expect(cluster.countRuns('deadly')).to.be.within(3, maxCrashes);
 	});
 
-	// Guards against nodes that forget it by a restart, all at once.
-	it('stays out when all nodes start again', async () => {
+	// Guards against nodes that lose the quarantine when all restart at once.
+	it('stays quarantined when all nodes restart', async () => {
 		const cluster = await createDeadlyCluster();
 		await repeatRequest(cluster, 8);
 		const before = cluster.countRuns('deadly');
@@ -85,8 +85,8 @@
 		expect(cluster.countRuns('deadly')).to.equal(before);
 	});
 
-	// Guards against a quarantine of requests that were merely at a target when it crashed.
-	it('takes none of the requests with it that were at the same targets', async () => {
+	// Guards against a quarantine of requests that were only in flight at a target that crashed.
+	it('does not quarantine requests that ran on the same targets', async () => {
 		const cluster = await createDeadlyCluster();
 		for (let round = 0; round < 8; round++) {
 			const entry = `vm-${round % 4}`;
--- a/packages/faults/__tests__/outcomes.spec.ts
+++ b/packages/faults/__tests__/outcomes.spec.ts
@@ -8,10 +8,10 @@
 
 /** One row of the table of outcomes in docs/GUARANTEES.md. */
 type Row = {
-	/** How the request ends. */
+	/** Why the request ends. */
 	how: string;
 	ends: string;
-	/** Whether a target may have run it. */
+	/** Number of runs at targets. */
 	runs: number;
 	arrange(cluster: TestCluster): Promise<CallerOutcome | undefined>;
 };
@@ -55,7 +55,7 @@
 			cluster.sendAndWait('r', {keyExpiry: undefined!}),
 	},
 	{
-		how: 'refused because its key lives too long',
+		how: 'refused because its key expires too late',
 		ends: 'notRun KeyExpiryTooFar',
 		runs: 0,
 		arrange: async (cluster) =>
@@ -64,7 +64,7 @@
 			}),
 	},
 	{
-		how: 'refused because its key stands for another request',
+		how: 'refused because its key was used for another request',
 		ends: 'unknown KeyReused',
 		runs: 1,
 		async arrange(cluster) {
@@ -160,7 +160,7 @@
 		},
 	},
 	{
-		how: 'connection between nodes cut after the hand-over',
+		how: 'connection between nodes lost after forwarding',
 		ends: 'unknown AnswerLost',
 		runs: 1,
 		async arrange(cluster) {
@@ -189,7 +189,7 @@
 		},
 	},
 	{
-		how: 'home frozen with the request in hand',
+		how: 'home frozen while it holds the request',
 		ends: 'unknown DeadlineWhileRunning',
 		runs: 0,
 		async arrange(cluster) {
@@ -227,7 +227,7 @@
 		runs: 0,
 		async arrange(cluster) {
 			for (const key of ['a', 'b', 'c']) {
-				// eslint-disable-next-line no-await-in-loop -- one after another.
+				// eslint-disable-next-line no-await-in-loop -- sequential calls.
 				await cluster.sendAndWait(key);
 			}
 
@@ -249,11 +249,11 @@
 	},
 ];
 
-describe('every way in which a request can end', () => {
+describe('the outcomes of a request', () => {
 	for (const {how, ends, runs, arrange} of rows) {
 		it(`${how}: ${ends}`, async () => {
-			// What the caller is told must fit what the targets did, whatever went
-			// wrong between them: a "not run" that ran is paid for twice.
+			// The reported outcome must match what the targets did, whatever failed in
+			// between: after a wrong "not run" the caller retries and pays twice.
 			const cluster = await createTestCluster({ledgerKeys: 3});
 			const result = await arrange(cluster);
 			expect(
@@ -265,9 +265,9 @@
 		});
 	}
 
-	it('refused in the queue of its target: not run, and the others are answered', async () => {
-		// A surge of bookings at slow targets. Whoever is turned away must be told
-		// the truth, and each booking that was let in must be there once.
+	it('refused in the queue of its target: not run, while others are answered', async () => {
+		// A surge of bookings at slow targets. Refused bookings must not have run,
+		// and each admitted booking must run once.
 		const cluster = await createTestCluster({slots: 1});
 		cluster.setTargets({slowness: 8});
 		const sent = Array.from({length: 120}, async (_, index) =>
--- a/packages/faults/__tests__/schedule.spec.ts
+++ b/packages/faults/__tests__/schedule.spec.ts
@@ -8,12 +8,12 @@
 } from '../src/index.js';
 
 describe('fault schedules', () => {
-	describe('of one fault', () => {
+	describe('with one fault', () => {
 		for (const kind of faultKinds) {
-			it(`keep every promise under ${kind}`, async () => {
-				// Each of these happens on an ordinary day of some week. A user who
-				// books, pays or uploads meanwhile repeats what got no answer, and
-				// must never find it done twice or denied though it was done.
+			it(`cause no violation under ${kind}`, async () => {
+				// Each of these faults is common in operation. Users who book, pay or
+				// upload meanwhile retry requests without an answer; these must not run
+				// twice, or be reported as not run after they ran.
 				const result = await runSchedule({
 					seed: 100,
 					handler: 'egretspoke',
@@ -25,20 +25,20 @@
 		}
 	});
 
-	describe('of faults that the seed draws', () => {
-		it('keep every promise', async () => {
-			// Two faults overlap: a home is frozen while the answers of a target
-			// are lost, or killed in a partition.
+	describe('with faults that the seed selects', () => {
+		it('cause no violation', async () => {
+			// Two faults can overlap: for example, a home is frozen while a target loses
+			// answers, or killed during a partition.
 			const summary = await runSeeds({first: 1, last: 40}, 'egretspoke');
 			expect(summary.first).to.equal(undefined);
 			expect(summary).to.include({schedules: 40, violations: 0});
 			expect(Object.keys(summary.faults)).to.have.lengthOf(faultKinds.length);
 		});
 
-		it('give the same history for the same seed', async () => {
+		it('produce the same history for the same seed', async () => {
 			const runs: ScheduleResult[] = [];
 			for (const seed of [7, 7]) {
-				// eslint-disable-next-line no-await-in-loop -- one run after another.
+				// eslint-disable-next-line no-await-in-loop -- sequential runs.
 				runs.push(await runSchedule({seed, handler: 'egretspoke'}));
 			}
 
@@ -55,9 +55,9 @@
 			['naive', 'noKeyRanTwice'],
 		];
 		for (const [handler, checker] of caught) {
-			it(`break a promise: ${handler}`, async () => {
-				// The same faults strike nodes that lack the mechanism; what its user
-				// would notice must show, or the clean runs above prove nothing.
+			it(`cause violations: ${handler}`, async () => {
+				// The same faults without the mechanism must cause the violation that
+				// users would notice; otherwise the specs above prove nothing.
 				const summary = await runSeeds({first: 1, last: 10}, handler);
 				expect(summary.violations).to.be.greaterThan(0);
 				expect(summary.violationsByChecker).to.have.property(checker);
--- a/packages/faults/__tests__/test-cluster.ts
+++ b/packages/faults/__tests__/test-cluster.ts
@@ -1,4 +1,4 @@
-/** A world whose faults are struck by the test and not by a seed. */
+/** A simulated world whose faults the test injects, instead of a seed. */
 import {checkHistory, createRecorder, digestBody} from '@egretspoke/history';
 import type {CallerOutcome, CallerRequest} from '@egretspoke/node';
 import {ErrorCode, type Home} from '@egretspoke/protocol';
@@ -11,7 +11,7 @@
 
 export type PendingAttempt = Promise<CallerOutcome | undefined>;
 
-/** Four nodes, `vm-0` to `vm-3`, that have found each other. */
+/** Creates four connected nodes, `vm-0` to `vm-3`. */
 export async function createTestCluster(
 	options: {slots?: number; ledgerKeys?: number; handler?: HandlerName} = {},
 ) {
@@ -33,7 +33,7 @@
 		incarnation: world.findProcess(name)!.control.membership.self().incarnation,
 	});
 
-	/** Sends a payment; `vm-0` is its entry and its home unless said otherwise. */
+	/** Sends a payment; its entry and its home default to `vm-0`. */
 	const send = async (
 		key: string,
 		overrides: Partial<CallerRequest> & {entry?: string} = {},
@@ -71,7 +71,7 @@
 		send,
 		wait,
 		homeAt,
-		/** Sends, and lets time pass until the attempt has ended. */
+		/** Sends, and advances the clock until the attempt has ended. */
 		async sendAndWait(...given: Parameters<typeof send>) {
 			const sent = send(...given);
 			await wait(callerTimeouts.deadline + callerTimeouts.grace + 10);
@@ -92,7 +92,7 @@
 
 export type TestCluster = Awaited<ReturnType<typeof createTestCluster>>;
 
-/** The end as `answered`, or as kind and name of the code. */
+/** Formats an outcome as `answered`, or as its kind and error code. */
 export function describeOutcome(result: CallerOutcome | undefined): string {
 	if (!result) {
 		return 'no answer';
--- a/packages/faults/src/caller-exchange.ts
+++ b/packages/faults/src/caller-exchange.ts
@@ -1,14 +1,14 @@
-/** One attempt of a caller at a node, over a connection that ends with either. */
+/** One attempt of a caller at a node, over a connection that closes when either side ends. */
 import type {CallerOutcome, CallerRequest} from '@egretspoke/node';
 import {sleep, type Clock} from '@egretspoke/shared';
 import type {FakeProcess} from './fake-node.js';
 
-/** Milliseconds that callers grant, and how much longer they wait. */
+/** The deadline that callers send, and how much longer they wait, in milliseconds. */
 export const callerTimeouts = {deadline: 800, grace: 150};
 
 const oneWayDelayMs = 1;
 
-/** Undefined when no answer came before the caller gave up. */
+/** Sends a request; resolves with undefined when the node is down or the caller's timeout expires. */
 export async function exchange(
 	clock: Clock,
 	process: FakeProcess | undefined,
--- a/packages/faults/src/fake-callers.ts
+++ b/packages/faults/src/fake-callers.ts
@@ -1,4 +1,4 @@
-/** Callers that send, lose callerTimeouts, and repeat with the same key and home. */
+/** Callers that send requests, time out, and retry with the same key and home. */
 import type {Home, Outcome} from '@egretspoke/protocol';
 import {digestBody, type Recorder} from '@egretspoke/history';
 import type {CallerOutcome, CallerRequest} from '@egretspoke/node';
@@ -9,18 +9,18 @@
 
 /** The callers of one run. */
 export type FakeCallers = {
-	/** Sends one request with all its repeats; resolves when its caller is done. */
+	/** Sends one request with all its retries; resolves when the caller stops. */
 	send(number: number): Promise<void>;
 	counts(): CallerCounts;
 };
 
-/** What callers saw. */
+/** Counts of attempts and of their outcomes at the callers. */
 export type CallerCounts = {
 	attempts: number;
 	answered: number;
 	notRun: number;
 	unknown: number;
-	/** No answer came: the connection broke, or the caller gave up. */
+	/** No answer: the connection broke, or the caller timed out. */
 	lost: number;
 };
 
@@ -28,7 +28,7 @@
 
 const maxRepeats = 6;
 
-/** Creates callers that reach the processes that are up at the time. */
+/** Creates callers that send to random processes of those that run at the time. */
 export function createFakeCallers(options: {
 	clock: Clock;
 	random: Random;
@@ -90,7 +90,7 @@
 		recorder.record({kind, ...mark, code});
 	};
 
-	/** One node, or several at once as an impatient user does. */
+	/** Sends the request to one node, or in one of four cases to up to three nodes at once. */
 	const attemptCopies = async (request: Request, home: Home | undefined) => {
 		const copies = random.below(4) === 0 ? 1 + random.below(3) : 1;
 		const results = await Promise.all(
@@ -112,7 +112,7 @@
 			};
 			let home: Home | undefined;
 			for (let repeat = 0; repeat < maxRepeats; repeat++) {
-				// eslint-disable-next-line no-await-in-loop -- a repeat comes after what it repeats.
+				// eslint-disable-next-line no-await-in-loop -- retries are sequential.
 				const result = await attemptCopies(request, home);
 				home ??= result?.home;
 				const isDone = result?.outcome.kind === 'answered';
@@ -120,7 +120,7 @@
 					return;
 				}
 
-				// eslint-disable-next-line no-await-in-loop -- a repeat comes after a pause.
+				// eslint-disable-next-line no-await-in-loop -- delay between retries.
 				await sleep(clock, random.below(600));
 			}
 		},
--- a/packages/faults/src/fake-channel.ts
+++ b/packages/faults/src/fake-channel.ts
@@ -4,27 +4,27 @@
 import type {Clock} from '@egretspoke/shared';
 import type {ProcessExecution} from './process-execution.js';
 
-/** What the two ends share. */
+/** The link that both ends share. */
 export type Link = {
 	clock: Clock;
-	/** Milliseconds one way. */
+	/** Returns a random one-way delay in milliseconds. */
 	drawDelay(): number;
 	isCut(): boolean;
 };
 
-/** An end with what the network does to it. */
+/** A channel end with the operations of the simulated network. */
 export type ChannelEnd = MessageChannel & {
 	connect(other: ChannelEnd): void;
-	/** Takes a message from the network; undefined ends the channel. */
+	/** Delivers a message from the network; undefined closes the channel. */
 	deliver(message: Uint8Array | undefined): void;
-	/** Loses what is under way and ends this end. */
+	/** Drops the messages in transit and closes this end. */
 	break(): void;
 };
 
-/** Milliseconds between two looks at a link that is cut. */
+/** Interval at which a partitioned link is checked again. */
 const cutPollIntervalMs = 20;
 
-/** Creates an end that isn't connected yet. */
+/** Creates an unconnected end. */
 export function createChannelEnd(
 	link: Link,
 	peer: PeerIdentity,
--- a/packages/faults/src/fake-network.ts
+++ b/packages/faults/src/fake-network.ts
@@ -1,6 +1,6 @@
 /**
- * The network between nodes: channels in order, with delays, cuts that lose
- * what was under way, and partitions that hold it or break the channel.
+ * Simulated network between nodes: ordered channels with delays, cuts that drop
+ * the messages in transit, and partitions that delay them or break the channel.
  */
 import type {Message} from '@egretspoke/protocol';
 import type {
@@ -12,23 +12,23 @@
 import {createChannelEnd, type ChannelEnd} from './fake-channel.js';
 import type {ProcessExecution} from './process-execution.js';
 
-/** A process on the network. */
+/** A process attached to the network. */
 export type Endpoint = {
 	address: string;
 	identity: PeerIdentity;
 	execution: ProcessExecution;
 };
 
-/** The network and its faults. */
+/** The simulated network and its faults. */
 export type FakeNetwork = {
 	attach(endpoint: Endpoint): PeerTransport;
-	/** Ends an endpoint's channels as the death of its process does. */
+	/** Closes an endpoint's channels, as when its process is killed. */
 	detach(endpoint: Endpoint): void;
-	/** Breaks every channel of a node at once; what was under way is lost. */
+	/** Breaks every channel of a node at once; messages in transit are lost. */
 	cut(node: string): void;
-	/** Milliseconds one way. */
+	/** Sets the range of one-way delays in milliseconds. */
 	setDelay(from: number, to: number): void;
-	/** Holds what passes between the nodes of the side and the others. */
+	/** Separates the nodes of one side from the others: messages are delayed until `heal`, or the channel breaks. */
 	partition(side: ReadonlySet<string>): void;
 	heal(): void;
 };
@@ -36,9 +36,9 @@
 type AttachedEndpoint = Endpoint & {accept: (channel: MessageChannel) => void};
 type ChannelPair = {ends: [ChannelEnd, ChannelEnd]; nodes: [string, string]};
 
-/** Milliseconds after which an attempt to connect is given up. */
+/** Timeout of an attempt to connect. */
 const connectTimeoutMs = 500;
-/** Milliseconds after which a silent channel is found broken. */
+/** Time after which keep-alive detects a broken channel. */
 const keepAliveTimeoutMs = 1000;
 
 /** Creates a network without endpoints. */
--- a/packages/faults/src/fake-node.ts
+++ b/packages/faults/src/fake-node.ts
@@ -1,4 +1,4 @@
-/** A node's whole core and control over the fakes, as a process that can end and start again. */
+/** Runs a node's core and control on the fakes, as a process that can be killed and restarted. */
 import {
 	createControl,
 	createSuspectRows,
@@ -24,7 +24,7 @@
 	type ProcessExecution,
 } from './process-execution.js';
 
-/** What a node is built from. */
+/** Dependencies and settings of a node. */
 export type FakeNodeOptions = {
 	name: string;
 	dataCentre: string;
@@ -46,17 +46,17 @@
 	execution: ProcessExecution;
 	core: NodeCore;
 	control: Control;
-	/** Ends it without a farewell. */
+	/** Kills the process without a withdrawal. */
 	kill(): void;
 };
 
 /** The service that every fake target offers. */
 export const fakeService = 'bookings';
 
-/** Milliseconds of a key's longest life in the schedules. */
+/** Maximum lifetime of a key in the schedules. */
 export const maxKeyLifetimeMs = 60_000;
 
-/** Starts the process; its incarnation is the wall time. */
+/** Starts the process; its incarnation is the wall-clock time. */
 export function startFakeNode(options: FakeNodeOptions): FakeProcess {
 	const {name, dataCentre, network, random, recorder, target} = options;
 	const execution = createProcessExecution(options.clock, random.fork());
--- a/packages/faults/src/fake-target.ts
+++ b/packages/faults/src/fake-target.ts
@@ -1,27 +1,27 @@
-/** A target of N slots with the faults of real ones, which records what it runs. */
+/** A simulated target with a number of slots and injected faults; records the requests that it runs. */
 import type {CallRequest} from '@egretspoke/protocol';
 import type {Recorder} from '@egretspoke/history';
 import type {TargetClient, TargetResult} from '@egretspoke/node';
 import {sleep, type Clock, type Random} from '@egretspoke/shared';
 import {readMark, writeAnswerBody} from './request-mark.js';
 
-/** What is wrong with the target, in shares of requests from 0 to 1. */
+/** Injected faults; ratios of requests from 0 to 1 unless stated otherwise. */
 export type TargetFaults = {
-	/** Runs take this many times as long. */
+	/** Factor on the duration of requests. */
 	slowness: number;
 	shed: number;
 	unreachable: number;
 	lost: number;
 	cut: number;
-	/** The path of requests that crash the target. */
+	/** Requests with this path crash the target. */
 	crashPath?: string;
 };
 
-/** A target with its switches. */
+/** A target and its faults. */
 export type FakeTarget = {
 	client: TargetClient;
 	faults: TargetFaults;
-	/** Everything that runs ends without an answer. */
+	/** Ends all running requests without an answer. */
 	killRunning(): void;
 };
 
@@ -35,9 +35,9 @@
 };
 
 const connectDelayMs = 0.3;
-/** Milliseconds until a target that has crashed is back. */
+/** Time until a crashed target listens again. */
 const restartDelayMs = 1500;
-/** Bounds of a healthy run in milliseconds. */
+/** Range of a healthy target's durations in milliseconds. */
 const run = {minDuration: 2, maxDuration: 40};
 
 /** Creates a healthy target. */
--- a/packages/faults/src/fake-world.ts
+++ b/packages/faults/src/fake-world.ts
@@ -1,4 +1,4 @@
-/** The nodes, targets, network, platform and operators of one run. */
+/** The simulated nodes, targets, network, platform and operators of one run. */
 import type {Recorder} from '@egretspoke/history';
 import type {Random, VirtualClock} from '@egretspoke/shared';
 import {createMemoryPlatform, type MemoryPlatform} from '@egretspoke/stand-ins';
@@ -7,7 +7,7 @@
 import {createFakeTarget, type FakeTarget} from './fake-target.js';
 import type {Handlers} from './handlers.js';
 
-/** Everything that faults can strike. */
+/** All components that faults can affect. */
 export type FakeWorld = {
 	names: string[];
 	network: FakeNetwork;
@@ -16,24 +16,24 @@
 	processes(): FakeProcess[];
 	findProcess(name: string): FakeProcess | undefined;
 	kill(name: string): void;
-	/** Starts a node that isn't running. */
+	/** Starts a node, unless it is running. */
 	start(name: string): void;
-	/** Plans and confirms a change at some node. */
+	/** Plans and confirms a configuration change at a random node. */
 	changeConfiguration(): Promise<void>;
-	/** Ends every process. */
+	/** Kills every process. */
 	stop(): void;
 };
 
 const nodeCount = 4;
 const dataCentres = 2;
 
-/** Creates a world whose nodes have started. */
+/** Creates a world and starts its nodes. */
 export function createFakeWorld(options: {
 	clock: VirtualClock;
 	random: Random;
 	recorder: Recorder;
 	handlers: Handlers;
-	/** In place of what is drawn. */
+	/** Fixed sizes instead of random ones. */
 	sizes?: {slots: number; ledgerKeys: number};
 }): FakeWorld {
 	const {clock, random, recorder, handlers} = options;
@@ -114,7 +114,7 @@
 	};
 }
 
-/** Some homes are so small that their ledgers fill up. */
+/** Draws the sizes; one run in four has ledgers small enough to fill up. */
 function drawSizes(random: Random): {slots: number; ledgerKeys: number} {
 	return {
 		slots: 2 + random.below(5),
--- a/packages/faults/src/fault-kinds.ts
+++ b/packages/faults/src/fault-kinds.ts
@@ -1,8 +1,8 @@
-/** The faults that a schedule may draw; each strikes once and is mended after its time. */
+/** The faults that a schedule can inject; each is injected once and reverted after its duration. */
 import type {Random} from '@egretspoke/shared';
 import type {FakeWorld} from './fake-world.js';
 
-/** The names of the faults, as in the summary. */
+/** Names of the faults, as printed in the summary. */
 export const faultKinds = [
 	'delay',
 	'cut',
@@ -24,7 +24,7 @@
 
 export type FaultKind = (typeof faultKinds)[number];
 
-/** Lets the fault strike; the function that comes back mends it. */
+/** Injects the fault; the returned function reverts it. */
 type Fault = (world: FakeWorld, random: Random) => () => void;
 
 const faultProbability = 0.6;
@@ -121,5 +121,5 @@
 }
 
 function recoverNothing(): void {
-	// This fault is over as soon as it has struck.
+	// The fault is instantaneous, so there is nothing to revert.
 }
--- a/packages/faults/src/handlers.ts
+++ b/packages/faults/src/handlers.ts
@@ -1,6 +1,6 @@
 /**
- * The ways in which nodes may behave, for the proof that the checks can fail:
- * ours, and ours with one mechanism replaced by what is done without it.
+ * Variants of node behaviour: egretspoke's own, and variants with mechanisms
+ * replaced by naive ones, which verify that the checkers detect violations.
  */
 import {
 	attemptAtMostOnce,
@@ -18,13 +18,13 @@
 	type Outcome,
 } from '@egretspoke/protocol';
 
-/** What can be replaced. */
+/** The replaceable mechanisms. */
 export type Handlers = {
 	attempt: AttemptHandler;
 	acceptance: AcceptanceRule;
 };
 
-/** The names of the ways. */
+/** Names of the variants. */
 export const handlerNames = [
 	'egretspoke',
 	'naive',
@@ -38,7 +38,7 @@
 
 const acceptance = acceptanceRules.higherAndWhole;
 
-/** The ways by name; only `egretspoke` is meant for use. */
+/** The variants by name; only `egretspoke` is intended for production. */
 export const handlers: Record<HandlerName, Handlers> = {
 	egretspoke: {attempt: attemptAtMostOnce, acceptance},
 	naive: {
@@ -56,7 +56,7 @@
 
 const naiveMaxAttempts = 3;
 
-/** No ledger, three attemptsLeft whatever came back, and what has no answer "was not run". */
+/** No ledger, up to three attempts after lost answers, and a missing answer is reported as "not run". */
 async function attemptNaively(
 	options: Parameters<AttemptHandler>[0],
 ): Promise<Outcome> {
@@ -68,7 +68,7 @@
 	});
 }
 
-/** Repeats are not recognised. */
+/** Does not recognise repeated keys. */
 async function attemptWithoutLedger(
 	options: Parameters<AttemptHandler>[0],
 ): Promise<Outcome> {
@@ -78,7 +78,7 @@
 	});
 }
 
-/** A lost answer is taken for a refusal, and another target is tried. */
+/** Treats a lost answer as a refusal and retries at another target. */
 async function attemptRetryingUnknown(
 	options: Parameters<AttemptHandler>[0],
 ): Promise<Outcome> {
@@ -88,7 +88,7 @@
 	});
 }
 
-/** Whoever has no answer in time says that it was not run. */
+/** Reports a request without a timely answer as not run. */
 async function attemptReportingUnknownAsNotRun(
 	options: Parameters<AttemptHandler>[0],
 ): Promise<Outcome> {
--- a/packages/faults/src/main.ts
+++ b/packages/faults/src/main.ts
@@ -1,4 +1,4 @@
-/** `npm run --silent faults -- --seeds A..B [--handler <name>]`: one JSON line; exit 1 on a violation. */
+/** `npm run --silent faults -- --seeds A..B [--handler <name>]`: prints one JSON line; exits with 1 on a violation. */
 import process from 'node:process';
 import {Command, InvalidArgumentError, Option} from 'commander';
 import {handlerNames, type HandlerName} from './handlers.js';
@@ -7,10 +7,10 @@
 type Range = {first: number; last: number};
 
 const program = new Command('faults')
-	.description('runs seeded schedules of faults and checks their histories')
+	.description('runs seeded fault schedules and checks their histories')
 	.requiredOption('--seeds <A..B>', 'first and last seed', parseRange)
 	.addOption(
-		new Option('--handler <name>', 'how the nodes behave')
+		new Option('--handler <name>', 'variant of the node behaviour')
 			.choices(handlerNames)
 			.default('egretspoke'),
 	)
--- a/packages/faults/src/process-execution.ts
+++ b/packages/faults/src/process-execution.ts
@@ -1,20 +1,21 @@
 /**
- * A process that can be frozen and killed, on the run's clock. While it is
- * frozen its timers and its input wait, as under SIGSTOP; the clock goes on.
+ * Execution of a simulated process that can be frozen and killed. While it is
+ * frozen, its timers and input are deferred and the clock advances, as under
+ * SIGSTOP.
  */
 import type {Clock, Random} from '@egretspoke/shared';
 
-/** Where everything that enters a process passes. */
+/** Controls the timers and the input of a process. */
 export type ProcessExecution = {
-	/** The clock as the process has it. */
+	/** The clock of the process; its timers are deferred while it is frozen. */
 	clock: Clock;
 	state(): 'running' | 'frozen' | 'dead';
-	/** Runs input now, or after the wake, or never. */
+	/** Runs input now, after `thaw` if frozen, or never if killed. */
 	run(callback: () => void): void;
-	/** The same for a result that comes from outside. */
+	/** Delivers an external result in the same way. */
 	hold<T>(result: Promise<T>): Promise<T>;
 	freeze(): void;
-	/** What waited runs in its order, timers before input or after it. */
+	/** Runs deferred callbacks in order, either all timers before all input or after it. */
 	thaw(): void;
 	kill(): void;
 };
@@ -87,7 +88,7 @@
 				...due.filter((each) => each.kind === first),
 				...due.filter((each) => each.kind !== first),
 			]) {
-				// A turn of its own each, so that what one wakes runs before the next.
+				// A separate timer for each, so that its continuations run before the next callback.
 				clock.setTimer(0, () => {
 					pass(kind, callback);
 				});
--- a/packages/faults/src/request-mark.ts
+++ b/packages/faults/src/request-mark.ts
@@ -1,17 +1,17 @@
-/** How a request and its answer are recognised at both ends of the code under test. */
+/** Marks that identify a request and its answer on both sides of the code under test. */
 
-/** The caller's attempt and the key of the request behind it. */
+/** Ids of the caller's attempt and of its request. */
 export type RequestMark = {attempt: string; key: string};
 
 const names = {attempt: 'x-attempt', key: 'x-key'} as const;
 const maxAnswerLength = 2000;
 
-/** Headers that carry the mark. */
+/** Encodes the mark as headers. */
 export function writeMark(mark: RequestMark): Record<string, string> {
 	return {[names.attempt]: mark.attempt, [names.key]: mark.key};
 }
 
-/** The mark of a request that carries one. */
+/** Decodes the mark; a request without one is `unmarked`. */
 export function readMark(headers: Record<string, string>): RequestMark {
 	return {
 		attempt: headers[names.attempt] ?? 'unmarked',
@@ -19,7 +19,7 @@
 	};
 }
 
-/** The one right answer to a key: its length and its bytes depend on the key. */
+/** The expected answer to a key; its length and content depend on the key. */
 export function writeAnswerBody(key: string): Uint8Array {
 	const line = `answer to ${key};`;
 	const length = line.length + ((key.length * 7919) % maxAnswerLength);
--- a/packages/faults/src/run-seeds.ts
+++ b/packages/faults/src/run-seeds.ts
@@ -1,9 +1,9 @@
-/** Many schedules, one after another, and their summary. */
+/** Runs schedules one after another and summarizes their results. */
 import type {CheckerName, Violation} from '@egretspoke/history';
 import type {HandlerName} from './handlers.js';
 import {runSchedule, type ScheduleResult} from './schedule.js';
 
-/** What the command prints. */
+/** The JSON object that the command prints. */
 export type FaultsSummary = {
 	handler: HandlerName;
 	schedules: number;
@@ -11,11 +11,11 @@
 	attempts: number;
 	outcomes: {answered: number; notRun: number; unknown: number; lost: number};
 	versionsTaken: number;
-	/** How often each kind struck. */
+	/** Number of injections of each kind. */
 	faults: Record<string, number>;
 	violations: number;
 	violationsByChecker: Partial<Record<CheckerName, number>>;
-	/** The first violation by its seed; running that seed alone shows it again. */
+	/** The first violation; running its seed alone reproduces it. */
 	first?: {seed: number; violation: Violation};
 };
 
@@ -36,7 +36,7 @@
 		violationsByChecker: {},
 	};
 	for (let seed = range.first; seed <= range.last; seed++) {
-		// eslint-disable-next-line no-await-in-loop -- each run has the process to itself.
+		// eslint-disable-next-line no-await-in-loop -- runs are sequential.
 		addResult(summary, await runSchedule({seed, handler}));
 	}
 
--- a/packages/faults/src/schedule.ts
+++ b/packages/faults/src/schedule.ts
@@ -1,4 +1,4 @@
-/** One run: a world, its callers, and the faults that the seed draws. */
+/** Runs one schedule: a world, its callers, and the faults that the seed selects. */
 import {
 	checkHistory,
 	createRecorder,
@@ -17,15 +17,15 @@
 import {createFakeWorld, type FakeWorld} from './fake-world.js';
 import {faultKinds, faults, type FaultKind} from './fault-kinds.js';
 
-/** What a run is drawn from. */
+/** Options of a run. */
 export type ScheduleOptions = {
 	seed: number;
 	handler: HandlerName;
-	/** The faults to strike, in place of those that the seed draws. */
+	/** Faults to inject instead of those that the seed selects. */
 	kinds?: FaultKind[];
 };
 
-/** What a run showed. */
+/** Result of a run. */
 export type ScheduleResult = {
 	seed: number;
 	requests: number;
@@ -37,12 +37,12 @@
 };
 
 const requestCount = 40;
-/** Has no factor in common with the number of combinations. */
+/** Must be coprime with the number of combinations, so that all of them are selected. */
 const combinationStep = 67;
 const discardedDraws = 32;
-/** Changes of the configuration, besides those of the faults. */
+/** Configuration changes, in addition to those of the faults. */
 const changeCount = 4;
-/** Milliseconds: when requests and faults begin and for how long, and the ends. */
+/** Start, windows for requests and faults, last configuration change, and end, in milliseconds. */
 const times = {
 	start: 2500,
 	arrivals: 3000,
@@ -105,8 +105,8 @@
 }
 
 /**
- * One fault, or two that may overlap: as many seeds as there are combinations
- * take each of them once, in an order that spreads a short range over all.
+ * Selects one fault, or two that may overlap. Consecutive seeds, as many as there
+ * are combinations, select each once; the step spreads a short range over all.
  */
 function chooseKinds(seed: number): FaultKind[] {
 	const singles = faultKinds.map((kind) => [kind]);
@@ -117,7 +117,7 @@
 	return combinations[(seed * combinationStep) % combinations.length]!;
 }
 
-/** The first numbers of neighbouring seeds are much alike, so they are thrown away. */
+/** Discards the first numbers, because they are similar for neighbouring seeds. */
 function createScheduleRandom(seed: number): Random {
 	const random = createRandom(seed);
 	for (let draw = 0; draw < discardedDraws; draw++) {
@@ -132,7 +132,7 @@
 	{clock, world, random}: {clock: Clock; world: FakeWorld; random: Random},
 ): void {
 	const at = times.start + random.below(times.strike);
-	// Up to beyond the lease, so that some nodes wake as absent.
+	// Long faults exceed the lease, so that some nodes have expired when they resume.
 	const duration = 50 + random.below(random.below(2) === 0 ? 700 : 4500);
 	clock.setTimer(at, () => {
 		const recover = faults[kind](world, random);
--- a/packages/stand-ins/__tests__/naive-policy.spec.ts
+++ b/packages/stand-ins/__tests__/naive-policy.spec.ts
@@ -31,7 +31,7 @@
 
 describe('the naive policy', () => {
 	describe('routing', () => {
-		it('takes the candidates in turn and passes over those that leave', () => {
+		it('selects candidates in round robin and skips those that leave', () => {
 			const routing = naivePolicy.createRouting(context);
 			routing.candidatesChanged(
 				'orders',
@@ -46,7 +46,7 @@
 			).to.deep.equal(['one', 'two', 'one', 'two']);
 		});
 
-		it('refuses where it knows no candidate', () => {
+		it('refuses without candidates', () => {
 			const routing = naivePolicy.createRouting(context);
 			expect(routing.choose(call, [], 0)).to.include({
 				kind: 'refuse',
@@ -54,7 +54,7 @@
 			});
 		});
 
-		it('tries three times whatever went wrong, and gives the layer below three again', () => {
+		it('attempts three times after any failure and grants the layer below three attempts', () => {
 			const routing = naivePolicy.createRouting(context);
 			const result = {node: 'one', duration: 1, result: 'unknown'} as const;
 			const kinds = [3, 2, 1].map(
@@ -66,7 +66,7 @@
 	});
 
 	describe('admission', () => {
-		it('lets in what is past its deadline and beyond the slots', () => {
+		it('admits requests beyond the slots and after their deadline', () => {
 			const admission = naivePolicy.createAdmission({
 				...context,
 				service: 'orders',
--- a/packages/stand-ins/__tests__/platform-stand-in.spec.ts
+++ b/packages/stand-ins/__tests__/platform-stand-in.spec.ts
@@ -29,7 +29,7 @@
 		await server.close();
 	});
 
-	it('reads what a transaction wrote, in key order', async () => {
+	it('reads the rows of a transaction in key order', async () => {
 		const {table, objects} = platform;
 		const written = await table.transact([
 			{kind: 'put', key: 'a/2 ä', value: 'two', ifVersion: 0},
@@ -56,7 +56,7 @@
 		expect(await unwrap(table.read('b'))).to.equal(undefined);
 	});
 
-	it('says unavailable when the platform certifies that nothing happened', async () => {
+	it('reports unavailable when the platform certifies that a call had no effect', async () => {
 		server.platform.faults.down = true;
 		const {table} = platform;
 		const write = await table.transact([{kind: 'put', key: 'a', value: ''}]);
@@ -64,10 +64,10 @@
 		expect(await failureOf(table.read('a'))).to.equal('unavailable');
 	});
 
-	it('says unknown when the answer to a write is lost after its effect', async () => {
-		// The platform writes the row and its connection breaks before the answer
-		// is through. A client that says "failed" here makes the operator confirm
-		// a second time what is in force already.
+	it('reports unknown when the answer to a write is lost after its effect', async () => {
+		// The platform writes the row and the connection breaks before the answer
+		// arrives. If the client reported a failure, the operator would confirm a
+		// change that is already in force again.
 		server.platform.faults.lostAnswers = 1;
 		const {table} = platform;
 		const write = await table.transact([{kind: 'put', key: 'a', value: 'x'}]);
@@ -75,7 +75,7 @@
 		expect(await valueOf(table.read('a'))).to.equal('x');
 	});
 
-	it('says unknown for a write and unavailable for a read that time out', async () => {
+	it('reports unknown for a write and unavailable for a read that time out', async () => {
 		server.platform.faults.delay = 60_000;
 		const quick = connect(server.address, 50);
 		const write = await quick.table.transact([
@@ -86,9 +86,9 @@
 		await quick.close();
 	});
 
-	it('says unavailable when the connection is refused', async () => {
-		// Nobody listens at the address, so nothing was handed over: saying
-		// unknown would send the operator looking for an effect there can't be.
+	it('reports unavailable when the connection is refused', async () => {
+		// No process listens at the address, so nothing was sent. If the client
+		// reported unknown, the operator would search for an impossible effect.
 		const refused = connect(await findFreeAddress());
 		const write = await refused.table.transact([
 			{kind: 'put', key: 'a', value: ''},
@@ -97,7 +97,7 @@
 		await refused.close();
 	});
 
-	it('refuses a wrong credential without an effect', async () => {
+	it('rejects a wrong credential without an effect', async () => {
 		const stranger = createHttpPlatform({
 			address: server.address,
 			timeout: 5000,
--- a/packages/stand-ins/src/child-process.ts
+++ b/packages/stand-ins/src/child-process.ts
@@ -1,36 +1,36 @@
 /**
- * A process of the demonstration, the benchmark or a failure test: started
- * with Node, read line by line, stopped by signals.
+ * Starts Node processes for the demonstration, the benchmark and failure tests,
+ * reads their output line by line, and stops them with signals.
  */
 import {spawn, type ChildProcess} from 'node:child_process';
 import {once} from 'node:events';
 import process from 'node:process';
 import {createInterface} from 'node:readline';
 
-/** How to start it. */
+/** Options of a child process. */
 export type ChildOptions = {
-	/** The script, and its arguments. */
+	/** Path of the script. */
 	script: string;
 	parameters?: string[];
-	/** Options of Node itself. */
+	/** Options for the Node executable. */
 	nodeOptions?: string[];
 };
 
-/** A process that runs. */
+/** A running child process. */
 export type Child = {
 	pid: number;
-	/** Every line that it has written to standard output. */
+	/** All lines of standard output so far. */
 	lines: readonly string[];
-	/** Resolves with the exit code; undefined when a signal ended it. */
+	/** Resolves with the exit code, or undefined when a signal ended the process. */
 	exited: Promise<number | undefined>;
-	/** What it has written to standard error. */
+	/** Returns the text of standard error so far. */
 	errors(): string;
-	/** Resolves with the first line, written already or yet to come, that the function reads as something. */
+	/** Resolves with the first defined result of `read` over past and future lines; rejects when the process ends. */
 	waitFor<T>(read: (line: string) => T | undefined): Promise<T>;
-	/** Writes a line and resolves with the next line of output. */
+	/** Writes a line to standard input and resolves with the next JSON line of output. */
 	sendCommand(line: string): Promise<unknown>;
 	signal(name: NodeJS.Signals): void;
-	/** Kills it, if it still runs, and waits. */
+	/** Kills the process and waits for its exit. */
 	kill(): Promise<void>;
 };
 
@@ -42,7 +42,7 @@
 	}
 });
 
-/** Starts a process. It ends with this one at the latest. */
+/** Starts a process; it is killed when this process exits. */
 export function startChild(options: ChildOptions): Child {
 	const child = spawn(
 		process.execPath,
@@ -137,7 +137,7 @@
 	return code ?? undefined;
 }
 
-/** A line of JSON; undefined for any other. */
+/** Parses a line as a JSON object; returns undefined for any other line. */
 export function readJson(line: string): Record<string, unknown> | undefined {
 	if (!line.startsWith('{')) {
 		return undefined;
--- a/packages/stand-ins/src/forwarder-main.ts
+++ b/packages/stand-ins/src/forwarder-main.ts
@@ -1,7 +1,7 @@
 /**
- * A process that only forwards: every request goes to one target and its
- * answer comes back, buffered, with no decision and no control. The benchmark
- * measures a node against it: `node forwarder-main.js <ip:port of the target>`.
+ * A plain buffering proxy that forwards every request to one target, without
+ * decisions or control, as the benchmark's baseline for a node:
+ * `node forwarder-main.js <ip:port of the target>`.
  */
 import {Buffer} from 'node:buffer';
 import {once} from 'node:events';
@@ -47,7 +47,7 @@
 		},
 		{
 			onRequestStart() {
-				// Nothing to do before the answer.
+				// Nothing to do before the response.
 			},
 			onResponseStart(_controller, status) {
 				response.statusCode = status;
--- a/packages/stand-ins/src/memory-platform.ts
+++ b/packages/stand-ins/src/memory-platform.ts
@@ -1,7 +1,7 @@
 /**
- * The platform in memory: a transactional table and an object store, with the
- * faults that the real one has. It can be down, be slow, and lose the answer
- * to a write after the write took effect.
+ * In-memory platform: a transactional table and an object store, with injected
+ * faults. It can be down, be slow, and lose the answer to a write after the
+ * write took effect.
  */
 import type {
 	Platform,
@@ -12,31 +12,31 @@
 import {sleep, type Clock} from '@egretspoke/shared';
 import {err, ok, ResultAsync, type Result} from 'neverthrow';
 
-/** Faults that are in force until they are changed. */
+/** Injected faults; they apply until they are changed. */
 export type PlatformFaults = {
 	/** Refuses every call before it has an effect. */
 	down: boolean;
-	/** Milliseconds that each call takes before it has its effect. */
+	/** Delay of each call before it takes effect, in milliseconds. */
 	delay: number;
-	/** How many of the next writes lose their answer after the effect. */
+	/** Number of following writes whose answer is lost after they take effect. */
 	lostAnswers: number;
 };
 
-/** How often the platform was used since its creation; failed calls count. */
+/** Number of calls since creation, including failed ones. */
 export type PlatformCounters = {reads: number; writes: number};
 
-/** A platform in memory with its switches. */
+/** An in-memory platform with its faults and counters. */
 export type MemoryPlatform = Platform & {
 	faults: PlatformFaults;
 	counters: PlatformCounters;
-	/** The platform as seen from a place that may be cut off from it. */
+	/** Returns a client of the platform whose calls fail while `isCutOff` returns true. */
 	connectFrom(isCutOff: () => boolean): Platform;
 };
 
-/** Milliseconds after which a client of a slow platform gives up. */
+/** Client timeout in milliseconds. */
 const defaultTimeout = 2000;
 
-/** Creates an empty platform; on a slow one, calls end after the timeout in milliseconds. */
+/** Creates an empty platform; `timeout` limits the duration of slow calls, in milliseconds. */
 export function createMemoryPlatform(options: {
 	clock: Clock;
 	timeout?: number;
@@ -137,7 +137,7 @@
 		.sort((left, right) => (left.key < right.key ? -1 : 1));
 }
 
-/** Applies all the writes or none; versions never repeat, also after a deletion. */
+/** Applies all writes or none; versions are never reused, not even after a deletion. */
 function applyWrites(
 	rows: Map<string, Row>,
 	writes: TableWrite[],
--- a/packages/stand-ins/src/naive-policy.ts
+++ b/packages/stand-ins/src/naive-policy.ts
@@ -1,10 +1,9 @@
 /**
- * The naive version, against which every differential test and the experiment
- * compare: round robin over the candidates, no limit of its own, first in
- * first out at the target up to its connections, and three tries at each layer
- * on any failure. It has no classes, no levels and no budgets. It stands behind
- * the same two interfaces as the policy that the node runs, so that both take
- * the same path.
+ * Naive policy, the baseline of differential tests and of the experiment: round
+ * robin over the candidates, no concurrency limit, first in, first out at the
+ * target up to its connections, and three attempts at each layer on any
+ * failure, without classes, levels or budgets. It implements the same two
+ * interfaces as the node's policy, so that both run the same code path.
  */
 import {ErrorCode} from '@egretspoke/protocol';
 import type {
@@ -14,26 +13,26 @@
 	RoutingPolicy,
 } from '@egretspoke/decisions';
 
-/** Tries at each layer, the first one included. */
+/** Maximum attempts at each layer, including the first. */
 export const naiveMaxAttempts = 3;
 
-/** The level that lets everything in. */
+/** The shed level that admits all requests. */
 const acceptAllLevel = 383;
 
-/** The naive entry of the table of policies. */
+/** The naive policy. */
 export const naivePolicy: Policy = {
 	name: 'naive',
 	createAdmission: createNaiveAdmission,
 	createRouting: createNaiveRouting,
 };
 
-/** Lets everything through to the target, which queues for itself. */
+/** Dispatches all requests to the target, which queues them. */
 function createNaiveAdmission(): AdmissionPolicy {
 	let inFlight = 0;
 	return {
 		arrive() {
 			inFlight++;
-			return {kind: 'dispatch', reason: 'everything is let in'};
+			return {kind: 'dispatch', reason: 'all requests are admitted'};
 		},
 		withdraw: () => false,
 		finish() {
@@ -53,7 +52,7 @@
 	};
 }
 
-/** Round robin, and another try after any failure while tries are left. */
+/** Round robin, with a retry after any failure while attempts are left. */
 function createNaiveRouting(): RoutingPolicy {
 	const candidates = new Map<string, RoutingCandidate[]>();
 	const nextIndex = new Map<string, number>();
@@ -71,22 +70,22 @@
 			nextIndex.set(service, index + 1);
 			const chosen = list[index % list.length];
 			return chosen === undefined
-				? refuse(ErrorCode.NoTarget, 'no candidate is known')
-				: {kind: 'send', node: chosen.node, reason: 'its turn'};
+				? refuse(ErrorCode.NoTarget, 'no candidate available')
+				: {kind: 'send', node: chosen.node, reason: 'next in round robin'};
 		},
 		started() {
-			// Nothing is counted.
+			// No state is tracked.
 		},
 		finished() {
-			// Nothing is learnt.
+			// Results are ignored.
 		},
 		observe() {
-			// Load reports are not read.
+			// Load reports are ignored.
 		},
 		retry: ({attempts}) =>
 			attempts > 1
-				? {kind: 'retry', delay: 0, exclude: [], reason: 'a try is left'}
-				: refuse(ErrorCode.AttemptsSpent, 'no try is left'),
+				? {kind: 'retry', delay: 0, exclude: [], reason: 'attempts are left'}
+				: refuse(ErrorCode.AttemptsSpent, 'no attempts are left'),
 		downstreamAttempts: () => naiveMaxAttempts,
 	};
 }
--- a/packages/stand-ins/src/platform-main.ts
+++ b/packages/stand-ins/src/platform-main.ts
@@ -1,7 +1,7 @@
 /**
- * Runs the platform's stand-in as a process of its own:
- * `node platform-main.js [port] [credential]`. Prints one line of JSON with
- * its address once it listens; ends on SIGTERM.
+ * Runs the platform's stand-in as a separate process:
+ * `node platform-main.js [port] [credential]`. Prints its address as one line of
+ * JSON once it listens; stops on SIGTERM.
  */
 import process from 'node:process';
 import {createSystemClock} from '@egretspoke/shared';
--- a/packages/stand-ins/src/platform-stand-in.ts
+++ b/packages/stand-ins/src/platform-stand-in.ts
@@ -1,8 +1,8 @@
 /**
- * The platform's stand-in as an HTTP server: the protocol of
- * `@egretspoke/storage` over a platform in memory. One call more than the
- * real one: `PUT /faults` with a part of `PlatformFaults` switches faults.
- * A write whose answer is lost ends with its connection cut.
+ * HTTP stand-in for the platform: the protocol of `@egretspoke/storage` over an
+ * in-memory platform. An additional call, `PUT /faults` with a partial
+ * `PlatformFaults`, injects faults. When an answer is lost, the connection is
+ * closed.
  */
 import {Buffer} from 'node:buffer';
 import {
@@ -38,7 +38,7 @@
 	body: string,
 ) => Promise<Answer | 'cut'>;
 
-/** Starts the stand-in; port 0 takes a free one. */
+/** Starts the stand-in; port 0 selects a free port. */
 export async function startPlatformServer(options: {
 	clock: Clock;
 	host?: string;
@@ -78,7 +78,7 @@
 	})
 	.partial();
 
-/** One handler a call of the protocol; the key is the method and the first path segments. */
+/** Handlers of the protocol's calls, by method and path prefix. */
 const handlers: Record<string, Handler> = {
 	'GET /table/rows/': async ({table}, key) =>
 		answer(table.read(key), (row) =>
--- a/packages/stand-ins/src/process-lines.ts
+++ b/packages/stand-ins/src/process-lines.ts
@@ -1,20 +1,20 @@
-/** What the project's processes print when they start, for those who start them. */
+/** Parses the lines that the project's processes print when they start. */
 import path from 'node:path';
 import {fileURLToPath} from 'node:url';
 import {readJson} from './child-process.js';
 
-/** The script beside a package's packageEntry; the packageEntry comes from `import.meta.resolve`. */
+/** Resolves a script in the directory of a package's entry, a URL from `import.meta.resolve`. */
 export function resolveScript(packageEntry: string, script: string): string {
 	return path.join(path.dirname(fileURLToPath(packageEntry)), script);
 }
 
-/** A text of a line of JSON. */
+/** Reads a string property from a line of JSON. */
 export function readText(line: string, name: string): string | undefined {
 	const value = readJson(line)?.[name];
 	return typeof value === 'string' ? value : undefined;
 }
 
-/** The addresses, `ip:port`, in the JSON line with which a node says that it has started. */
+/** Reads the listeners' addresses, `ip:port`, from a node's `started` log line. */
 export function readStartedNode(
 	line: string,
 ): {caller: string; peer: string; admin: string} | undefined {
--- a/packages/stand-ins/src/target-main.ts
+++ b/packages/stand-ins/src/target-main.ts
@@ -1,8 +1,9 @@
 /**
- * A stand-in target as a process of its own:
- * `node target-main.js '{"service":"orders","slots":8,…}'`. It prints one line
- * of JSON with its address, and answers each line it reads: `announce <ip:port>`
- * announces it to its node, `runs` gives how often each request id ran.
+ * Runs a stand-in target as a separate process:
+ * `node target-main.js '{"service":"orders","slots":8,…}'`. Prints its address as
+ * one line of JSON, and responds to each input line with another:
+ * `announce <ip:port>` announces the target to its node, `runs` returns the
+ * number of runs of each request id.
  */
 import process from 'node:process';
 import {createInterface} from 'node:readline';
--- a/packages/stand-ins/src/target-stand-in.ts
+++ b/packages/stand-ins/src/target-stand-in.ts
@@ -1,7 +1,7 @@
 /**
- * A target that stands in for a service: N slots, a service time, calls to
- * deeper services through its own node. It announces itself to its node and
- * counts what ran, so that a proof can ask it.
+ * Stand-in for a target: a number of slots, a service time, and calls to
+ * downstream services through its node. It announces itself to its node and
+ * counts the runs of each request for the tests.
  */
 import {Buffer} from 'node:buffer';
 import {once} from 'node:events';
@@ -14,17 +14,17 @@
 import {headerNames} from '@egretspoke/protocol';
 import {sleep, type Clock} from '@egretspoke/shared';
 
-/** What the stand-in is built from. */
+/** Options of the stand-in. */
 export type TargetStandInOptions = {
 	clock: Clock;
 	service: string;
 	slots: number;
 	connections: number;
-	/** Milliseconds that each request takes besides its calls. */
+	/** Duration of each request without its calls, in milliseconds. */
 	serviceTime: number;
-	/** Services called for each request, one after another. */
+	/** Services called sequentially for each request. */
 	calls: string[];
-	/** Where to listen; port 0 chooses a free one. */
+	/** Address to listen on; port 0 selects a free port. */
 	host: string;
 	port: number;
 };
@@ -33,14 +33,14 @@
 export type TargetStandIn = {
 	/** `ip:port`. */
 	address: string;
-	/** How often each request id ran. */
+	/** Number of runs by request id. */
 	runs: ReadonlyMap<string, number>;
-	/** Announces itself to its node's caller listener, `ip:port`, and calls deeper through it from then on. */
+	/** Announces itself to its node's caller listener, `ip:port`, and sends its downstream calls there. */
 	announce(nodeAddress: string): Promise<void>;
 	close(): Promise<void>;
 };
 
-/** What the stand-in answers, for people to read. */
+/** The JSON body of an answer, for debugging. */
 type StandInAnswer = {
 	service: string;
 	request: string;
@@ -50,7 +50,7 @@
 	deeper: unknown[];
 };
 
-/** Starts a target; it is announced separately, once its node listens. */
+/** Starts a target; announce it separately once its node listens. */
 export async function startTargetStandIn(
 	options: TargetStandInOptions,
 ): Promise<TargetStandIn> {
@@ -133,7 +133,7 @@
 ): Promise<Array<{status: number; answer: unknown}>> {
 	const answers = [];
 	for (const service of options.calls) {
-		// eslint-disable-next-line no-await-in-loop -- a chain is called in order.
+		// eslint-disable-next-line no-await-in-loop -- calls are sequential.
 		const answer = await send(`http://${options.node}/${service}`, {
 			dispatcher: agent,
 			headers: {
@@ -142,7 +142,7 @@
 				[headerNames.caller]: options.service,
 			},
 		});
-		// eslint-disable-next-line no-await-in-loop -- its body belongs to it.
+		// eslint-disable-next-line no-await-in-loop -- read before the next call.
 		const body: unknown = await answer.body.json();
 		answers.push({status: answer.statusCode, answer: body});
 	}
