--- a/packages/faults/__tests__/outcomes.spec.ts
+++ b/packages/faults/__tests__/outcomes.spec.ts
@@ -9,8 +9,8 @@
 /** One row of the table of outcomes in docs/GUARANTEES.md. */
 type Row = {
 	/** Why the request ends. */
-	how: string;
-	ends: string;
+	cause: string;
+	expected: string;
 	/** Number of runs at targets. */
 	runs: number;
 	arrange(cluster: TestCluster): Promise<CallerOutcome | undefined>;
@@ -20,14 +20,14 @@
 
 const rows: Row[] = [
 	{
-		how: 'answered whole',
-		ends: 'answered',
+		cause: 'answered whole',
+		expected: 'answered',
 		runs: 1,
 		arrange: async (cluster) => cluster.sendAndWait('r'),
 	},
 	{
-		how: 'repeated after its answer',
-		ends: 'answered again',
+		cause: 'repeated after its answer',
+		expected: 'answered again',
 		runs: 1,
 		async arrange(cluster) {
 			const keyExpiry = cluster.clock.date().getTime() + 20_000;
@@ -36,27 +36,27 @@
 		},
 	},
 	{
-		how: 'refused at its entry: no key',
-		ends: 'notRun KeyRequired',
+		cause: 'refused at its entry: no key',
+		expected: 'notRun KeyRequired',
 		runs: 0,
 		arrange: async (cluster) => cluster.sendAndWait('r', {key: undefined!}),
 	},
 	{
-		how: 'refused at its entry: no home',
-		ends: 'notRun HomeRequired',
+		cause: 'refused at its entry: no home',
+		expected: 'notRun HomeRequired',
 		runs: 0,
 		arrange: async (cluster) => cluster.sendAndWait('r', {home: undefined!}),
 	},
 	{
-		how: 'refused by a home without an expiry of the key',
-		ends: 'notRun KeyExpiryRequired',
+		cause: 'refused by a home without an expiry of the key',
+		expected: 'notRun KeyExpiryRequired',
 		runs: 0,
 		arrange: async (cluster) =>
 			cluster.sendAndWait('r', {keyExpiry: undefined!}),
 	},
 	{
-		how: 'refused because its key expires too late',
-		ends: 'notRun KeyExpiryTooFar',
+		cause: 'refused because its key expires too late',
+		expected: 'notRun KeyExpiryTooFar',
 		runs: 0,
 		arrange: async (cluster) =>
 			cluster.sendAndWait('r', {
@@ -64,8 +64,8 @@
 			}),
 	},
 	{
-		how: 'refused because its key was used for another request',
-		ends: 'unknown KeyReused',
+		cause: 'refused because its key was used for another request',
+		expected: 'unknown KeyReused',
 		runs: 1,
 		async arrange(cluster) {
 			const keyExpiry = cluster.clock.date().getTime() + 20_000;
@@ -74,8 +74,8 @@
 		},
 	},
 	{
-		how: 'shed by every target with a certificate',
-		ends: 'notRun',
+		cause: 'shed by every target with a certificate',
+		expected: 'notRun',
 		runs: 0,
 		async arrange(cluster) {
 			cluster.setTargets({shed: 1});
@@ -83,8 +83,8 @@
 		},
 	},
 	{
-		how: 'no target can be reached',
-		ends: 'notRun',
+		cause: 'no target can be reached',
+		expected: 'notRun',
 		runs: 0,
 		async arrange(cluster) {
 			cluster.setTargets({unreachable: 1});
@@ -92,8 +92,8 @@
 		},
 	},
 	{
-		how: 'every target is leaving',
-		ends: 'notRun',
+		cause: 'every target is leaving',
+		expected: 'notRun',
 		runs: 0,
 		async arrange(cluster) {
 			for (const process of cluster.world.processes()) {
@@ -104,8 +104,8 @@
 		},
 	},
 	{
-		how: 'refused by a node that was paused beyond its lease',
-		ends: 'notRun NodeSuspended',
+		cause: 'refused by a node that was paused beyond its lease',
+		expected: 'notRun NodeSuspended',
 		runs: 0,
 		async arrange(cluster) {
 			const {execution} = cluster.world.findProcess('vm-0')!;
@@ -119,8 +119,8 @@
 		},
 	},
 	{
-		how: 'deadline passed while it ran',
-		ends: 'unknown DeadlineWhileRunning',
+		cause: 'deadline passed while it ran',
+		expected: 'unknown DeadlineWhileRunning',
 		runs: 1,
 		async arrange(cluster) {
 			cluster.setTargets({slowness: 1000});
@@ -128,8 +128,8 @@
 		},
 	},
 	{
-		how: 'repeated while it runs',
-		ends: 'unknown StillRunning',
+		cause: 'repeated while it runs',
+		expected: 'unknown StillRunning',
 		runs: 1,
 		async arrange(cluster) {
 			cluster.setTargets({slowness: 30});
@@ -142,8 +142,8 @@
 		},
 	},
 	{
-		how: 'answer lost by its target',
-		ends: 'unknown AnswerLost',
+		cause: 'answer lost by its target',
+		expected: 'unknown AnswerLost',
 		runs: 1,
 		async arrange(cluster) {
 			cluster.setTargets({lost: 1});
@@ -151,8 +151,8 @@
 		},
 	},
 	{
-		how: 'answer cut short by its target',
-		ends: 'unknown AnswerCut',
+		cause: 'answer cut short by its target',
+		expected: 'unknown AnswerCut',
 		runs: 1,
 		async arrange(cluster) {
 			cluster.setTargets({cut: 1});
@@ -160,8 +160,8 @@
 		},
 	},
 	{
-		how: 'connection between nodes lost after forwarding',
-		ends: 'unknown AnswerLost',
+		cause: 'connection between nodes lost after forwarding',
+		expected: 'unknown AnswerLost',
 		runs: 1,
 		async arrange(cluster) {
 			cluster.setTargets({slowness: 20});
@@ -176,8 +176,8 @@
 		},
 	},
 	{
-		how: 'home killed while it ran',
-		ends: 'unknown AnswerLost',
+		cause: 'home killed while it ran',
+		expected: 'unknown AnswerLost',
 		runs: 1,
 		async arrange(cluster) {
 			cluster.setTargets({slowness: 20});
@@ -189,8 +189,8 @@
 		},
 	},
 	{
-		how: 'home frozen while it holds the request',
-		ends: 'unknown DeadlineWhileRunning',
+		cause: 'home frozen while it holds the request',
+		expected: 'unknown DeadlineWhileRunning',
 		runs: 0,
 		async arrange(cluster) {
 			cluster.world.findProcess('vm-1')!.execution.freeze();
@@ -198,8 +198,8 @@
 		},
 	},
 	{
-		how: 'home not reachable',
-		ends: 'unknown HomeUnreachable',
+		cause: 'home not reachable',
+		expected: 'unknown HomeUnreachable',
 		runs: 0,
 		async arrange(cluster) {
 			const home = cluster.homeAt('vm-1');
@@ -208,22 +208,22 @@
 		},
 	},
 	{
-		how: 'home of another incarnation',
-		ends: 'unknown HomeGone',
+		cause: 'home of another incarnation',
+		expected: 'unknown HomeGone',
 		runs: 0,
 		arrange: async (cluster) =>
 			cluster.sendAndWait('r', {home: {node: 'vm-1', incarnation: 1}}),
 	},
 	{
-		how: 'key expired',
-		ends: 'unknown KeyExpired',
+		cause: 'key expired',
+		expected: 'unknown KeyExpired',
 		runs: 0,
 		arrange: async (cluster) =>
 			cluster.sendAndWait('r', {keyExpiry: cluster.clock.date().getTime() - 1}),
 	},
 	{
-		how: 'home full',
-		ends: 'notRun LedgerFull',
+		cause: 'home full',
+		expected: 'notRun LedgerFull',
 		runs: 0,
 		async arrange(cluster) {
 			for (const key of ['a', 'b', 'c']) {
@@ -235,8 +235,8 @@
 		},
 	},
 	{
-		how: 'idempotent, one attempt lost and the next refused',
-		ends: 'unknown',
+		cause: 'idempotent, one attempt lost and the next refused',
+		expected: 'unknown',
 		runs: 1,
 		async arrange(cluster) {
 			cluster.setTargets({lost: 1, slowness: 3});
@@ -250,14 +250,14 @@
 ];
 
 describe('the outcomes of a request', () => {
-	for (const {how, ends, runs, arrange} of rows) {
-		it(`${how}: ${ends}`, async () => {
+	for (const {cause, expected, runs, arrange} of rows) {
+		it(`${cause}: ${expected}`, async () => {
 			// The reported outcome must match what the targets did, whatever failed in
 			// between: after a wrong "not run" the caller retries and pays twice.
 			const cluster = await createTestCluster({ledgerKeys: 3});
 			const result = await arrange(cluster);
 			expect(
-				describeOutcome(result).startsWith(ends),
+				describeOutcome(result).startsWith(expected),
 				describeOutcome(result),
 			).to.equal(true);
 			expect(cluster.countRuns('r')).to.equal(runs);
--- a/packages/faults/src/fake-callers.ts
+++ b/packages/faults/src/fake-callers.ts
@@ -28,7 +28,7 @@
 
 const maxRepeats = 6;
 
-/** Creates callers that send to random processes of those that run at the time. */
+/** Creates callers that send each attempt to a random running process. */
 export function createFakeCallers(options: {
 	clock: Clock;
 	random: Random;
--- a/packages/faults/src/schedule.ts
+++ b/packages/faults/src/schedule.ts
@@ -46,7 +46,7 @@
 const times = {
 	start: 2500,
 	arrivals: 3000,
-	strike: 2800,
+	faultWindow: 2800,
 	lastChange: 8000,
 	end: 16_000,
 };
@@ -131,7 +131,7 @@
 	kind: FaultKind,
 	{clock, world, random}: {clock: Clock; world: FakeWorld; random: Random},
 ): void {
-	const at = times.start + random.below(times.strike);
+	const at = times.start + random.below(times.faultWindow);
 	// Long faults exceed the lease, so that some nodes have expired when they resume.
 	const duration = 50 + random.below(random.below(2) === 0 ? 700 : 4500);
 	clock.setTimer(at, () => {
--- a/packages/stand-ins/src/naive-policy.ts
+++ b/packages/stand-ins/src/naive-policy.ts
@@ -1,9 +1,9 @@
 /**
  * Naive policy, the baseline of differential tests and of the experiment: round
- * robin over the candidates, no concurrency limit, first in, first out at the
- * target up to its connections, and three attempts at each layer on any
- * failure, without classes, levels or budgets. It implements the same two
- * interfaces as the node's policy, so that both run the same code path.
+ * robin over the candidates, no concurrency limit, FIFO order at the target up to
+ * its connections, and three attempts at each layer on any failure, without
+ * classes, levels or budgets. It implements the same two interfaces as the node's
+ * policy, so that both run the same code path.
  */
 import {ErrorCode} from '@egretspoke/protocol';
 import type {
