--- a/packages/benchmark/src/control-slopes.ts
+++ b/packages/benchmark/src/control-slopes.ts
@@ -28,7 +28,7 @@
 	};
 };
 
-/** Time for the gossip about the starts to settle; at the largest number of nodes, nearly so. */
+/** Time for gossip about the starts to complete, or nearly so at the largest number of nodes. */
 const settleSeconds = (nodes: number) => Math.min(45, Math.max(4, nodes / 4));
 
 const steadySeconds = 8;
@@ -52,7 +52,7 @@
 	const steady = await measureWindow(fleet, steadySeconds);
 	const configurationChange = await changeConfiguration(fleet);
 	const rollingRestart = await restartOneByOne(fleet);
-	const dataCentreReturns = await returnDataCentre(fleet);
+	const dataCentreReturns = await reconnectDataCentre(fleet);
 	for (const node of fleet.nodes) {
 		node.stop();
 	}
@@ -119,7 +119,7 @@
 	await waitSeconds(0.5);
 }
 
-async function returnDataCentre(
+async function reconnectDataCentre(
 	fleet: Fleet,
 ): Promise<SlopeResult['dataCentreReturns']> {
 	const {dataCentre} = fleet.nodes[0]!;
