--- a/packages/faults/__tests__/crashing-request.spec.ts
+++ b/packages/faults/__tests__/crashing-request.spec.ts
@@ -98,14 +98,14 @@
 				}),
 			);
 			void cluster.send('deadly', {...deadly, entry});
-			// eslint-disable-next-line no-await-in-loop -- one round after the other.
+			// eslint-disable-next-line no-await-in-loop -- sequential rounds.
 			await cluster.wait(3000);
 			// eslint-disable-next-line no-await-in-loop -- as above.
 			await Promise.all(bystanders);
 		}
 
 		for (let index = 0; index < 6; index++) {
-			// eslint-disable-next-line no-await-in-loop -- one after the other.
+			// eslint-disable-next-line no-await-in-loop -- sequential calls.
 			const result = await cluster.sendAndWait(`bystander-${index}`, {
 				method: 'GET',
 				path: `/read/${index}`,
--- a/packages/faults/src/fake-node.ts
+++ b/packages/faults/src/fake-node.ts
@@ -41,7 +41,7 @@
 	peers: string[];
 };
 
-/** One start of the node's process. */
+/** A running instance of the node's process. */
 export type FakeProcess = {
 	execution: ProcessExecution;
 	core: NodeCore;
--- a/packages/stand-ins/src/memory-platform.ts
+++ b/packages/stand-ins/src/memory-platform.ts
@@ -14,7 +14,7 @@
 
 /** Injected faults; they apply until they are changed. */
 export type PlatformFaults = {
-	/** Refuses every call before it has an effect. */
+	/** Refuses every call without an effect. */
 	down: boolean;
 	/** Delay of each call before it takes effect, in milliseconds. */
 	delay: number;
