--- a/packages/benchmark/src/control-fleet.ts
+++ b/packages/benchmark/src/control-fleet.ts
@@ -1,7 +1,7 @@
 /**
- * Many nodes in one process with control only: membership and the watch of
- * the configuration. Messages go through the real codec both ways, as they
- * would over a channel, and are counted at their sender.
+ * Many nodes in one process with control only: membership and the configuration
+ * watch. Messages are encoded and decoded by the real codec, as over a channel,
+ * and counted at their sender.
  */
 import {setImmediate} from 'node:timers/promises';
 import {createControl, type Control, type SendProbe} from '@egretspoke/control';
@@ -21,7 +21,7 @@
 	dataCentre: string;
 	control: Control;
 	tally: NodeTally;
-	/** Ends the node without a farewell. */
+	/** Stops the node without a withdrawal. */
 	stop(): void;
 };
 
@@ -29,15 +29,15 @@
 export type Fleet = {
 	nodes: FleetNode[];
 	platform: MemoryPlatform;
-	/** Tallies of all nodes that ever were, in the order of their starts. */
+	/** Tallies of all nodes, including stopped ones, in the order of their starts. */
 	tallies: NodeTally[];
-	/** Starts a node; a name that ran before takes its address anew. */
+	/** Starts a node; a restarted node reuses its address. */
 	start(index: number): Promise<FleetNode>;
-	/** Cuts a data centre off from the others, or none. */
-	cutOff(dataCentre: string | undefined): void;
+	/** Isolates a data centre from the others; undefined ends the isolation. */
+	isolate(dataCentre: string | undefined): void;
 };
 
-/** Data centres at the two-year size. */
+/** Number of data centres expected in two years. */
 const dataCentres = 6;
 
 const services = 26;
@@ -49,7 +49,10 @@
 	const byAddress = new Map<string, FleetNode>();
 	let cut: string | undefined;
 
-	const carry = (tally: NodeTally, message: Message): Message | undefined => {
+	const transmit = (
+		tally: NodeTally,
+		message: Message,
+	): Message | undefined => {
 		const bytes = encodeMessage(message);
 		tally.bytes += bytes.byteLength;
 		tally.messages++;
@@ -58,24 +61,24 @@
 
 	const findPeer = (address: string, from: string) => {
 		const peer = byAddress.get(address);
-		const isCut =
+		const isIsolated =
 			peer !== undefined &&
 			peer.dataCentre !== from &&
 			[peer.dataCentre, from].includes(cut ?? '');
-		return isCut ? undefined : peer;
+		return isIsolated ? undefined : peer;
 	};
 
 	const createSend =
 		(tally: NodeTally, from: string): SendProbe =>
 		async (address, probe) => {
-			const message = carry(tally, probe);
+			const message = transmit(tally, probe);
 			await setImmediate();
 			const peer = findPeer(address, from);
 			if (!peer || message?.type !== 'probe') {
 				return undefined;
 			}
 
-			const answer = carry(peer.tally, peer.control.receiveProbe(message));
+			const answer = transmit(peer.tally, peer.control.receiveProbe(message));
 			await setImmediate();
 			return answer?.type === 'acknowledgement' ? answer : undefined;
 		};
@@ -84,7 +87,7 @@
 		nodes: [],
 		platform,
 		tallies: [],
-		cutOff(dataCentre) {
+		isolate(dataCentre) {
 			cut = dataCentre;
 		},
 		async start(index) {
@@ -99,13 +102,13 @@
 				random: random.fork(),
 				send: createSend(tally, dataCentre),
 				async fetchConfiguration(address) {
-					carry(tally, {type: 'configurationRequest'});
+					transmit(tally, {type: 'configurationRequest'});
 					const peer = findPeer(address, dataCentre);
 					const body = peer?.control.configuration.body();
 					await setImmediate();
 					const answer =
 						peer && body
-							? carry(peer.tally, {type: 'configurationBody', ...body})
+							? transmit(peer.tally, {type: 'configurationBody', ...body})
 							: undefined;
 					return answer?.type === 'configurationBody' ? answer : undefined;
 				},
--- a/packages/benchmark/src/decision-benchmark.ts
+++ b/packages/benchmark/src/decision-benchmark.ts
@@ -1,8 +1,8 @@
 /**
- * What one decision costs, in nanoseconds: the choice of a target and the
- * bookkeeping around it with so many targets known, and the admission of a
- * request at a target that is saturated. Each figure is the median over
- * batches, so that a pause of the collector doesn't count.
+ * Measures the cost of a decision in nanoseconds: the selection of a target and
+ * its bookkeeping for a given number of targets, and the admission of a request
+ * at a saturated target. Each figure is the median over batches, which excludes
+ * garbage collection pauses.
  */
 import {performance} from 'node:perf_hooks';
 import {createRandom} from '@egretspoke/shared';
@@ -14,25 +14,25 @@
 	type RoutingDecision,
 	type RoutingPolicy,
 } from '@egretspoke/decisions';
-import {toMedian} from './median.js';
+import {computeMedianCost} from './median.js';
 
-/** Median nanoseconds of each decision. */
+/** Median cost of each decision in nanoseconds. */
 export type DecisionCosts = {
 	choose: number;
 	/** `started`, `observe` and `finished` together. */
 	learn: number;
-	/** `arrive`, whatever it decides. */
+	/** `arrive`, for any decision. */
 	arrive: number;
-	/** `finish` and `turns` together, for each request that ended. */
+	/** `finish` and `processQueue` together, for each finished request. */
 	finish: number;
 };
 
 const batches = 4000;
-const warmUps = 1000;
-/** Requests of a batch, and the milliseconds of virtual time it stands for. */
+const warmUpBatches = 1000;
+/** Requests a batch, which is also its duration in milliseconds of virtual time. */
 const batchSize = 20;
-/** Of these so many end in the time: the slots run half of what arrives. */
-const endedOfBatch = 10;
+/** Requests that finish a batch: the slots handle half of the arrivals. */
+const endedPerBatch = 10;
 const dataCentres = ['one', 'two', 'three'];
 const classes = ['essential', 'normal', 'deferrable'] as const;
 const slots = 30;
@@ -45,7 +45,7 @@
 	serviceTime: 60,
 };
 
-/** Measures with so many targets of one service. */
+/** Measures with a number of targets of one service. */
 export function measureDecisions(targets: number): DecisionCosts {
 	return {...measureRouting(targets), ...measureAdmission()};
 }
@@ -61,7 +61,7 @@
 	routing.candidatesChanged('loft-queues', candidates, 0);
 	const choose: number[] = [];
 	const learn: number[] = [];
-	for (let batch = 0; batch < warmUps + batches; batch++) {
+	for (let batch = 0; batch < warmUpBatches + batches; batch++) {
 		const now = batch * batchSize;
 		const calls = createCalls(batch);
 		const begin = performance.now();
@@ -73,8 +73,8 @@
 	}
 
 	return {
-		choose: toMedian(choose.slice(warmUps), batchSize),
-		learn: toMedian(learn.slice(warmUps), batchSize),
+		choose: computeMedianCost(choose.slice(warmUpBatches), batchSize),
+		learn: computeMedianCost(learn.slice(warmUpBatches), batchSize),
 	};
 }
 
@@ -106,7 +106,7 @@
 	const arrive: number[] = [];
 	const finish: number[] = [];
 	const running: string[] = [];
-	for (let batch = 0; batch < warmUps + batches; batch++) {
+	for (let batch = 0; batch < warmUpBatches + batches; batch++) {
 		const now = batch * batchSize;
 		const calls = createCalls(batch);
 		const begin = performance.now();
@@ -118,39 +118,39 @@
 			}
 		}
 
-		const ended = running.splice(0, endedOfBatch);
+		const ended = running.splice(0, endedPerBatch);
 		const ending = performance.now();
-		const begun = finishAll(admission, ended, now + batchSize / 2);
-		if (ended.length === endedOfBatch) {
+		const startedIds = finishAll(admission, ended, now + batchSize / 2);
+		if (ended.length === endedPerBatch) {
 			finish.push(performance.now() - ending);
 		}
 
-		running.push(...begun);
+		running.push(...startedIds);
 	}
 
 	return {
-		arrive: toMedian(arrive.slice(warmUps), batchSize),
-		finish: toMedian(finish.slice(warmUps), endedOfBatch),
+		arrive: computeMedianCost(arrive.slice(warmUpBatches), batchSize),
+		finish: computeMedianCost(finish.slice(warmUpBatches), endedPerBatch),
 	};
 }
 
-/** Ends the requests; returns what began in their place. */
+/** Finishes the requests; returns the ids of those dispatched from the queue. */
 function finishAll(
 	admission: AdmissionPolicy,
 	ended: string[],
 	now: number,
 ): string[] {
-	const begun: string[] = [];
+	const startedIds: string[] = [];
 	for (const id of ended) {
 		admission.finish(id, {duration: 60, result: 'ok'}, now);
-		for (const turn of admission.processQueue(now)) {
-			if (turn.kind === 'dispatch') {
-				begun.push(turn.id);
+		for (const decision of admission.processQueue(now)) {
+			if (decision.kind === 'dispatch') {
+				startedIds.push(decision.id);
 			}
 		}
 	}
 
-	return begun;
+	return startedIds;
 }
 
 function createCalls(batch: number): CallFacts[] {
