--- a/packages/mesh/src/configuration-follower.ts
+++ b/packages/mesh/src/configuration-follower.ts
@@ -1,11 +1,11 @@
 /**
  * Keeps the newest accepted configuration in force at this node.
  *
- * Configurations arrive from the store's feed and from peers: some nodes follow
- * the feed for all (`feed-followers.ts`), and the store may refuse this node, or
- * its feed may have stalled. A version is applied only if it is newer than the
- * one in force: updates from several sources arrive out of order, and callers
- * would see a change applied and reverted.
+ * Configurations arrive from the store's feed and from peers: only some nodes
+ * follow the feed (`feed-followers.ts`), the store may refuse this node, and
+ * its feed may stall. A version is applied only if it is newer than the one in
+ * force. Updates from several sources arrive out of order, and callers would
+ * otherwise see a change applied and reverted.
  */
 import {sleep, type Clock, type Random} from '@egretspoke/shared';
 import type {Result} from 'neverthrow';
--- a/packages/mesh/src/decisions/call-graph.ts
+++ b/packages/mesh/src/decisions/call-graph.ts
@@ -4,9 +4,8 @@
  *
  * Load pattern: one service deep in a call graph is full, and the routes that
  * lead to it cost it very different amounts. Which to refuse first depends on
- * the total cost of a request there. Each node learns the calls of its own
- * target (`call-profile.ts`) and announces them; this module combines the
- * profiles of all nodes.
+ * the total cost of a request there. Each node announces the calls of its own
+ * target (`call-profile.ts`); this module combines the profiles of all nodes.
  */
 import {minCalls, type RouteProfile} from './call-profile.js';
 
--- a/packages/mesh/src/decisions/call-profile.ts
+++ b/packages/mesh/src/decisions/call-profile.ts
@@ -1,19 +1,11 @@
 /**
- * Estimates which calls a request of each route causes at the local target,
- * and for how long it occupies a slot.
+ * Estimates which calls a request of each route causes at the local target, and
+ * for how long it occupies a slot.
  *
  * Load pattern: a service runs routes that call an overloaded service deeper
  * down and routes that make no calls. Calls arrive over one connection pool and
- * don't identify the request that makes them. Unless the routes are
- * distinguished, a download is refused for a service that it never uses.
- *
- * In each period of a second, the calls to a route are the sum, over the routes
- * that ran, of requests times calls per request. Recursive least squares solves
- * this as the mix changes. Calls are first attributed to the route with the most
- * requests, and to another only as the data shows it. Under overload calls come
- * long after their requests, so deviations count as noise, and only calls that
- * exceed it are reported. Old data decays slowly, so that a change of the graph
- * is followed within a minute.
+ * don't identify their request. Unless the routes are distinguished, a download
+ * is refused for a service that it never uses.
  */
 
 /** The effects of a request of a route at the service that runs it. */
@@ -44,7 +36,10 @@
 export const profilePeriod = 1000;
 /** The maximum number of routes that are distinguished; more would make each update slow. */
 const maxRoutes = 12;
-/** The decay factor of the data per period, which makes about twenty periods count. */
+/**
+ * The decay factor of the data per period, which makes about twenty periods
+ * count: a change of the graph is followed within a minute.
+ */
 const memory = 0.95;
 /** The decay factor while the errors are biased in one direction: the graph has changed, and the old data is of little use. */
 const decayAfterChange = 0.7;
@@ -52,7 +47,10 @@
 const initialVariance = 4;
 /** The minimum variance of a period, in calls squared. */
 const minNoise = 4;
-/** The variance added per call, for calls that fall into a later period than their request. */
+/**
+ * The variance added per call, for calls that fall into a later period than
+ * their request: under overload they come long after it.
+ */
 const noisePerCall = 0.25;
 /** The weight of the latest period in the average error. */
 const noiseWeight = 0.2;
@@ -61,7 +59,10 @@
 /** The minimum numbers of requests, and of periods with any, for a route to count as making no calls. */
 const minRuns = 20;
 const minPeriods = 3;
-/** The fraction of the standard deviation that is subtracted from the announced calls. */
+/**
+ * The fraction of the standard deviation that is subtracted from the announced
+ * calls, so that only calls that exceed the noise are announced.
+ */
 const announcedUncertainty = 0.6;
 /** The change in calls per request that is announced. */
 const announcedChange = 0.25;
@@ -78,7 +79,11 @@
 	meanSquare: number;
 };
 
-/** Creates the profiles of a target without requests. */
+/**
+ * Creates the profiles of a target without requests. In each period, the calls
+ * to a route are the sum, over the routes that ran, of requests times calls per
+ * request; recursive least squares solves this as the mix changes.
+ */
 export function createCallProfile(): CallProfile {
 	const routes: string[] = [];
 	const requestCounts: number[] = [];
@@ -155,7 +160,10 @@
 				.filter(({count}) => count > 0),
 		}));
 
-	/** Attributes the first calls to a route to the route with the most requests. */
+	/**
+	 * Attributes the first calls to a route to the route with the most
+	 * requests; only later data attributes them to another.
+	 */
 	const attributeFirstCalls = (estimate: Estimate) => {
 		const max = Math.max(...requestCounts);
 		const position = requestCounts.indexOf(max);
--- a/packages/mesh/src/decisions/failure-share.ts
+++ b/packages/mesh/src/decisions/failure-share.ts
@@ -6,9 +6,6 @@
  * occupied and attracts the work of the others; users see a third of their
  * requests fail although two healthy targets are available. So the ratio of
  * failures counts like occupancy when a target is selected.
- *
- * The ratio decays while there are no answers, because a target that is avoided
- * could otherwise never show that it has recovered.
  */
 
 /** The failures of one target; times are in milliseconds of the steady clock. */
@@ -20,7 +17,11 @@
 
 /** The weight of an answer in the moving average, which covers about the last ten. */
 const answerWeight = 0.1;
-/** The half-life of the ratio without answers, in milliseconds: a target is tried again within a few seconds. */
+/**
+ * The half-life of the ratio without answers, in milliseconds. A target that is
+ * avoided could otherwise never show that it has recovered; it is tried again
+ * within a few seconds.
+ */
 const halfLife = 1000;
 
 /** Creates a ratio of 0. */
--- a/packages/mesh/src/decisions/feed-followers.ts
+++ b/packages/mesh/src/decisions/feed-followers.ts
@@ -4,9 +4,8 @@
  * Load pattern: every node of a large fleet waits for the same change. Each
  * change then wakes all of them at once and causes as many calls to the store
  * as there are nodes, although a node receives it from its peers within
- * milliseconds. So a node doesn't follow the feed while it is linked to enough
- * followers that precede it in an order shared by all nodes. The first nodes of
- * that order always follow, and a node that loses its followers becomes one.
+ * milliseconds. So only the first nodes of an order shared by all nodes follow
+ * the feed.
  */
 import {createNameRank} from './name-rank.js';
 
@@ -28,7 +27,11 @@
 
 const rankOf = createNameRank('feed');
 
-/** Whether the node should follow the feed, given its peers. */
+/**
+ * Whether the node should follow the feed: always, unless it is linked to
+ * enough followers that precede it in the order. A node that loses its
+ * followers becomes one.
+ */
 export function isFeedFollower(self: string, peers: FeedPeer[]): boolean {
 	const ownRank = rankOf(self);
 	const before = peers.filter(
--- a/packages/mesh/src/decisions/inner-routes.ts
+++ b/packages/mesh/src/decisions/inner-routes.ts
@@ -1,20 +1,18 @@
 /**
- * Distinguishes the routes of calls between services from those of callers'
- * new requests.
+ * Distinguishes the routes of calls between services from those of callers' new
+ * requests.
  *
  * Load pattern: overload deep in a call graph. New requests should be refused
- * before they start, and calls of running requests should continue. If they are
- * confused, work in progress is wasted, or new requests are admitted whose work
- * is wasted. Both arrive from the same VM over the same listener and look alike.
- *
- * Callers are everywhere, but a call comes only from the services whose targets
- * make it. So nodes share the routes that were requested from them, and a route
- * that is requested at the nodes of at most half of the services is one of
- * calls. Times and addresses don't help: calls have deadlines of their own, and
- * callers share the VM's address.
+ * before they start, and calls of running requests should continue; if they are
+ * confused, work is wasted. Both arrive from the same VM over the same listener
+ * and look alike.
  */
 
-/** The routes requested at this node and at the nodes of other services. */
+/**
+ * The routes requested at this node and at the nodes of other services. If
+ * calls are refused like new requests, work in progress is wasted; if new
+ * requests are admitted like calls, their own work is.
+ */
 export type InnerRoutes = {
 	/** Records a local request; true when its route has to be announced to the other nodes. */
 	record(route: string): boolean;
@@ -22,7 +20,13 @@
 	requestedRoutes(): string[];
 	/** Adds routes that were requested at the nodes of a service. */
 	addPeerRoutes(service: string, routes: readonly string[]): void;
-	/** Whether the route is one of calls between services. */
+	/**
+	 * Whether the route is one of calls between services: it is requested at
+	 * the nodes of at most half of the services. Callers are everywhere, but a
+	 * call comes only from the services whose targets make it. Times and
+	 * addresses don't help: calls have deadlines of their own, and callers
+	 * share the VM's address.
+	 */
 	isInner(route: string): boolean;
 };
 
--- a/packages/mesh/src/decisions/offer-budget.ts
+++ b/packages/mesh/src/decisions/offer-budget.ts
@@ -3,24 +3,18 @@
  *
  * Load pattern: the targets of a service decline half of their requests, at
  * once and although they have room. A request that makes eight such calls then
- * succeeds in one of 400 cases. A declined call has not run and can be offered
- * again immediately, so a few offers per call let most requests succeed; but
- * without a bound, targets that decline everything would get many times their
- * load and never recover.
- *
- * The bound limits arrivals beyond the first of each request, over all nodes of
- * a service. Only the target's node sees all of its arrivals: first ones,
- * retries by other nodes, and calls of requests that are repeats themselves. So
- * each node keeps the bound for its own target, and the sum over the targets
- * keeps it for every distribution of the load. The bound applies to windows at
- * any position, and to the requests of the window itself or of the one before,
- * whichever has more. No node knows which that is over all nodes, so each uses
- * the same weighted mean of its two, which never exceeds the larger sum. The
- * window before weighs more: while targets decline, fewer requests are admitted
- * than before.
+ * succeeds in one of 400 cases. A declined call has not run, so a few immediate
+ * offers per call let most requests succeed; but without a bound, targets that
+ * decline everything would get many times their load and never recover.
  */
 
-/** The bound for one target. */
+/**
+ * The bound for one target. It limits arrivals beyond the first of each
+ * request, over all nodes of a service. Only the target's node sees all of its
+ * arrivals: first ones, retries by other nodes, and calls of requests that are
+ * repeats themselves. So each node keeps the bound for its own target, and the
+ * sum over the targets keeps it for every distribution of the load.
+ */
 export type OfferBudgetOptions = {
 	/** Allowed repeats per request. */
 	ratio: number;
@@ -47,7 +41,14 @@
 
 /** Slots in which a window is counted. */
 const slotsPerWindow = 20;
-/** The weight of the window before in the bound of a window. */
+/**
+ * The weight of the window before in the bound of a window. The bound applies
+ * to windows at any position, and to the requests of the window itself or of
+ * the one before, whichever has more. No node knows which that is over all
+ * nodes, so each uses the same weighted mean of its two, which never exceeds
+ * the larger sum. The window before weighs more: while targets decline, fewer
+ * requests are admitted than before.
+ */
 const previousWindowWeight = 0.75;
 /**
  * The maximum spending rate, as a multiple of an even rate over the window. When
--- a/packages/mesh/src/decisions/peer-subset.ts
+++ b/packages/mesh/src/decisions/peer-subset.ts
@@ -2,13 +2,10 @@
  * Selects the nodes of a service to which a node keeps links.
  *
  * Load pattern: a fleet of hundreds of nodes in which each links to each. A
- * restart of one node then costs a handshake with all others, a restart of all
- * nodes the square of that, and every load report is sent to every node. So
- * each node uses a bounded subset: first nodes of its own data centre, the rest
- * in others, so that some remain when a data centre is lost. The order is that
- * of rendezvous hashing (Thaler and Ravishankar, 1998): every node has its own,
- * all members come first equally often, and a member that joins or leaves
- * changes a subset by at most itself and the one that replaces it.
+ * restart of one node costs a handshake with all others, a restart of all nodes
+ * the square of that, and every load report is sent to every node. So each node
+ * uses a bounded subset: first nodes of its own data centre, the rest in
+ * others, so that some remain when a data centre is lost.
  */
 import type {NameRank} from './name-rank.js';
 
@@ -36,7 +33,12 @@
 /** Candidates per wanted member; beyond them, the members of a service that is down are not tried. */
 const candidatesPerMember = 3;
 
-/** Sorts members by reachability, then by the ranks of this node. */
+/**
+ * Sorts members by reachability, then by the ranks of this node. These are
+ * those of rendezvous hashing (Thaler and Ravishankar, 1998): every node has
+ * its own order, all members come first equally often, and a member that joins
+ * or leaves changes a subset by at most itself and the one that replaces it.
+ */
 export function rankMembers<T extends SubsetMember>(
 	rankOf: NameRank,
 	members: readonly T[],
--- a/packages/mesh/src/decisions/quota-allocation.ts
+++ b/packages/mesh/src/decisions/quota-allocation.ts
@@ -4,16 +4,8 @@
  * Load pattern: a workspace sends many times its usual load, spread over the
  * nodes in any way; its quota limits the sum. Equal parts for all nodes would
  * refuse most requests of a small workspace whose callers use only a few of
- * them. So the nodes of a data centre report to one of them, the allocator. It
- * exchanges sums with the allocators of the other data centres and grants each
- * workspace one ratio for all nodes: 1 within the quota, else the fraction of
- * the demand that fits.
- *
- * Reports are late. Requests admitted beyond the quota in the meantime are
- * tracked as a debt, which is deducted from the next second's quota.
- *
- * When a reporter stops reporting, its part of the quota stays reserved for a
- * while: it may be partitioned, and then it continues to spend exactly that part.
+ * them. So the nodes of a data centre report to one of them, the allocator,
+ * which grants each workspace one ratio for all nodes.
  */
 import type {Quota, QuotaGrant, QuotaUse} from './quota-share.js';
 
@@ -26,9 +18,12 @@
 	report(reporter: Reporter, uses: QuotaUse[], now: number): void;
 	/** Accounts for the time since the last call; called once per period. */
 	update(quotas: readonly Quota[], now: number): void;
-	/** The sums over this data centre's nodes. */
+	/** The sums over this data centre's nodes, for the allocators of the others. */
 	sums(now: number): QuotaUse[];
-	/** The grants for the named workspaces, as of the last update. */
+	/**
+	 * The grants for the named workspaces, as of the last update. A ratio is 1
+	 * within the quota, else the fraction of the demand that fits.
+	 */
 	grants(workspaces: Iterable<string>): QuotaGrant[];
 	/** The number of nodes of this data centre with a recent report. */
 	reportingNodes(now: number): number;
@@ -42,12 +37,20 @@
 const reportTimeout = 1200;
 /** The averaging time of a reporter's demand, in milliseconds. */
 const averagingTime = 2500;
-/** Milliseconds for which the part of a silent reporter stays reserved; shorter for a node, because its callers may have gone with it. */
+/**
+ * Milliseconds for which the part of a silent reporter stays reserved: it may
+ * be partitioned, and then it continues to spend exactly that part. Shorter for
+ * a node, because its callers may have gone with it.
+ */
 const reservationTimeouts: Record<Reporter['kind'], number> = {
 	node: 30_000,
 	dataCentre: 3_600_000,
 };
-/** Milliseconds within which a debt is repaid. */
+/**
+ * Milliseconds within which a debt is repaid. Reports are late; what was
+ * admitted beyond the quota in the meantime is deducted from the next second's
+ * quota.
+ */
 const repaymentTime = 1000;
 /** The maximum debt, in seconds of the rate: older excess lies outside every window. */
 const maxDebt = 5;
--- a/packages/mesh/src/decisions/quota-share.ts
+++ b/packages/mesh/src/decisions/quota-share.ts
@@ -6,11 +6,6 @@
  * admitted rates to an allocator (`quota-allocation.ts`) and receives the ratio
  * of requests that all nodes together may admit; it is 1 while a workspace is
  * within its quota, and nothing is refused then.
- *
- * A node without recent grants is partitioned or has just started. It then
- * spends a fixed part of the quota: the fraction of the workspace's requests
- * that it received when it last knew the total, else an equal part. The parts
- * add up to the quota, however the nodes are partitioned.
  */
 import type {Random} from '@egretspoke/shared';
 
@@ -133,7 +128,14 @@
 
 	const equalPart = () => 1 / (nodes() ?? Number.POSITIVE_INFINITY);
 
-	/** Applies without recent grants; starts without a burst, because it may have been used already. */
+	/**
+	 * Applies without recent grants: the node is partitioned or has just
+	 * started. It then spends a fixed part of the quota: the fraction of the
+	 * workspace's requests that it received when it last knew the total, else
+	 * an equal part. The parts add up to the quota, however the nodes are
+	 * partitioned. It starts without a burst, because that may have been used
+	 * already.
+	 */
 	const isWithinPart = (account: Account, quota: Quota, now: number) => {
 		const part = account.part ?? equalPart();
 		if (!account.isFixed) {
--- a/packages/mesh/src/decisions/recent-ratio.ts
+++ b/packages/mesh/src/decisions/recent-ratio.ts
@@ -1,12 +1,11 @@
 /**
- * The ratio of recent requests for which a condition holds, as the input of a
- * control loop.
+ * The ratio of recent requests for which a condition holds, for a control loop.
  *
  * Load pattern: a target declines half of its work for some seconds and then
  * recovers, while entry nodes admit hardly any requests. A moving average over
  * a number of requests would keep the old value until enough successful
  * requests have replaced the failed ones, and these aren't admitted. So only a
- * short time window counts, and too few requests give a ratio of 0.
+ * short time window counts.
  */
 
 /** The ratio; times are in milliseconds of the steady clock. */
@@ -21,7 +20,7 @@
 const slotDuration = 100;
 /** Slots in the window. */
 const slotCount = 3;
-/** The minimum number of requests for a ratio. */
+/** The minimum number of requests for a ratio; fewer give a ratio of 0. */
 const minRequests = 5;
 
 type Slot = {index: number; requests: number; matching: number};
--- a/packages/mesh/src/decisions/retry-after-time.ts
+++ b/packages/mesh/src/decisions/retry-after-time.ts
@@ -3,20 +3,25 @@
  *
  * Load pattern: a burst of which a part is refused. With the same retry time
  * for all, the refused requests arrive as the next burst and are refused again.
- * With a time close to the end of their objective, the retries are admitted but
- * answered too late to be useful. So the times are spread between a short
- * minimum and half of the objective, which leaves the other half for the
- * answer. When nearly all requests are refused, that is too early: the cause
- * will probably persist, and a late answer is better than a second refusal.
+ * Near the end of their objective, retries are admitted but answered too late
+ * to be useful. So the times are spread from a short minimum to half of the
+ * objective.
  */
 
 /** The retry time for a short overload, in milliseconds. */
 export const shortRetryAfter = 300;
 /** The minimum retry time as a fraction of the objective, if that is sooner. */
 const minObjectiveRatio = 0.2;
-/** The maximum retry time as a fraction of the objective. */
+/**
+ * The maximum retry time as a fraction of the objective; the rest is left for
+ * the answer.
+ */
 const maxObjectiveRatio = 0.5;
-/** The ratio of refused requests from which nearly all count as refused. */
+/**
+ * The ratio of refused requests from which nearly all count as refused. Half of
+ * the objective is too early then: the cause will probably persist, and a late
+ * answer is better than a second refusal.
+ */
 const nearlyAllRatio = 0.9;
 /** The maximum retry time as a fraction of the time that the caller has left. */
 const maxTimeLeftRatio = 1 / 3;
--- a/packages/mesh/src/decisions/retry-budget.ts
+++ b/packages/mesh/src/decisions/retry-budget.ts
@@ -5,14 +5,6 @@
  * its requests. A retry repeats the whole tree of calls below it, so without a
  * bound a service that has lost a few targets gets several times its load and
  * stays down after the cause has gone.
- *
- * Nodes can't coordinate before each retry. So each one limits its retries to a
- * ratio of the requests that it sent to the service within the window, plus its
- * part of a fixed allowance; the sum over all nodes then keeps the bound.
- *
- * In a large fleet the limit of a node is often below one retry, and always
- * rounding down would prevent all retries. So each node rounds at its own
- * random threshold, which keeps the expected sum correct.
  */
 import type {Random} from '@egretspoke/shared';
 
@@ -50,11 +42,21 @@
 	requests: number[];
 	retries: number[];
 	slot: number;
-	/** A last, fractional retry is allowed when the fractional part of the limit exceeds this threshold, from 0 to 1. */
+	/**
+	 * A last, fractional retry is allowed when the fractional part of the limit
+	 * exceeds this random threshold, from 0 to 1. In a large fleet the limit of
+	 * a node is often below one retry: always rounding down would prevent all
+	 * retries, while random thresholds keep the expected sum correct.
+	 */
 	roundingThreshold: number;
 };
 
-/** Creates the retry budgets of a node, one for each service. */
+/**
+ * Creates the retry budgets of a node, one for each service. Nodes can't
+ * coordinate before each retry. So each one limits its retries to a ratio of
+ * the requests that it sent to the service within the window, plus its part of
+ * a fixed allowance; the sum over all nodes then keeps the bound.
+ */
 export function createRetryBudget(
 	options: RetryBudgetOptions,
 	random: Random,
--- a/packages/mesh/src/decisions/run-time.ts
+++ b/packages/mesh/src/decisions/run-time.ts
@@ -6,9 +6,6 @@
  * sending it work; every fifth view waits for it, and the shed levels of the
  * slow targets make the entry nodes refuse work that the others could run. So
  * the duration counts when a target is selected.
- *
- * A target that is avoided yields no new durations. After some time without
- * runs its duration counts as unknown, and the next run alone sets it.
  */
 
 /** The duration of one target's runs, in milliseconds; times are those of the steady clock. */
@@ -20,7 +17,11 @@
 
 /** The weight of a run in the moving average, which covers about the last ten. */
 const runWeight = 0.1;
-/** The time without runs after which the duration is unknown, in milliseconds. */
+/**
+ * The time without runs after which the duration is unknown, in milliseconds. A
+ * target that is avoided yields no new durations; its next run alone then sets
+ * the value.
+ */
 const maxAge = 4000;
 
 /** Creates the duration of a target without runs. */
--- a/packages/mesh/src/decisions/shed-level.ts
+++ b/packages/mesh/src/decisions/shed-level.ts
@@ -2,30 +2,18 @@
  * Calculates the shed level of a target: the ratio of its service's load that
  * the entry nodes should refuse.
  *
- * Load pattern: demand that stays above the capacity of a target or of a service
- * that it calls. If the deep service refuses calls, the work done above it is
- * wasted: a request that makes ten calls, a third of which are refused, almost
- * never succeeds, and the goodput falls to zero while every slot is busy. So the
- * deep service refuses hardly anything. Its level rises, travels up the call
- * graph with the answers, and the entry nodes refuse requests before any work
- * is done, the least important first.
- *
- * The effect of a level is delayed, because a request makes its calls over its
- * whole duration. A controller that raises its level while requests wait would
- * overshoot in both directions for as long as the overload lasts. So the node
- * estimates the demand without refusals, from the arrivals and the ratio that
- * was admitted when they were sent. The level is the ratio of this demand that
- * exceeds the capacity; the wait only corrects it.
- *
- * A target may also decline requests while none waits and slots are free. Those
- * that can't be offered again within the bound on repeats end declined, and with
- * them the whole request that they belong to. The level then rises as well,
- * until the repeats suffice for the admitted requests: some requests succeed,
- * and the others are refused before they run; otherwise a part of every request
- * would fail.
+ * Load pattern: demand that stays above the capacity of a target or of a
+ * service that it calls. Calls refused by the deep service waste the work done
+ * above it. So it refuses hardly any: its level travels up the call graph with
+ * the answers, and entry nodes refuse requests, the least important first.
  */
 
-/** The level of one target: the ratio of the load, from 0 to 1, to refuse. */
+/**
+ * The level of one target: the ratio of the load, from 0 to 1, to refuse before
+ * any work is done. If the deep service refused calls instead, a request that
+ * makes ten calls, a third of which are refused, would almost never succeed,
+ * and the goodput would fall to zero while every slot is busy.
+ */
 export type ShedLevel = {
 	/** Called once per period while requests wait or the level is not 0. */
 	update(pressure: Pressure): void;
@@ -97,7 +85,13 @@
 /** The ratio of declined offers from which a target counts as unhealthy. */
 const unhealthyDeclined = 0.1;
 
-/** Creates a level of 0. */
+/**
+ * Creates a level of 0. The effect of a level is delayed, because a request
+ * makes its calls over its whole duration. A controller that raises its level
+ * while requests wait would overshoot in both directions for as long as the
+ * overload lasts. So the level is the ratio of the estimated demand that
+ * exceeds the capacity; the wait only corrects it.
+ */
 export function createShedLevel(): ShedLevel {
 	const demand = createDemandEstimate();
 	let byDemand = 0;
@@ -129,6 +123,14 @@
 	return level < minLevel ? 0 : level;
 }
 
+/**
+ * Raises the level while the target declines requests although none waits and
+ * slots are free. Requests that can't be offered again within the bound on
+ * repeats end declined, and with them the whole request that they belong to. So
+ * the level rises until the repeats suffice for the admitted requests: some
+ * requests succeed, and the others are refused before they run; otherwise a
+ * part of every request would fail.
+ */
 function updateByUnserved(
 	level: number,
 	{declined, unserved}: Pressure,
@@ -146,7 +148,11 @@
 	);
 }
 
-/** The demand without refusals, as a multiple of the target's capacity. */
+/**
+ * The demand without refusals, as a multiple of the target's capacity:
+ * estimated from the arrivals and the ratio that was admitted when they were
+ * sent.
+ */
 type DemandEstimate = {
 	/** Records the arrivals of a period and the level that is reported from now on; returns the estimate. */
 	update(arriving: number, level: number): number;
--- a/packages/mesh/src/decisions/shed-order.ts
+++ b/packages/mesh/src/decisions/shed-order.ts
@@ -1,23 +1,11 @@
 /**
  * Determines the order in which requests are refused when a part of a service's
- * load has to be shed.
+ * load has to be shed: by priority, then by cost.
  *
  * Load pattern: a deep service is full, and the requests that lead to it differ
  * in priority and, within one priority, tenfold in their cost there. If all are
- * refused alike, refusing the cheap ones frees almost nothing: users of a command
- * that needs one call are refused in favour of pages that need eight. So requests
- * are refused by priority, the least important first, and within it by cost, the
- * most expensive first. Each kind covers the range of levels that corresponds to
- * its share of the load, so that the same step of the level always frees the
- * same amount.
- *
- * A kind that costs the service far less than the next more important requests
- * is refused together with these: otherwise many callers would be refused to
- * spare one of them.
- *
- * A part of each kind is kept until all others have shed theirs, and the larger
- * part of the most important kind. So callers of the least important requests
- * are still served occasionally and can tell that the service is up.
+ * refused alike, refusing the cheap ones frees almost nothing: users of a
+ * command that needs one call are refused in favour of pages that need eight.
  */
 
 /** The load of one kind of request on the service that is full. */
@@ -37,17 +25,33 @@
 /** The slices for requests of unknown cost: the refused ratio equals the level. */
 export const wholeLoad: ShedSlice[] = [{start: 0, width: 1, part: 1}];
 
-/** The parts that are refused in the first and in the last pass; the rest is always admitted. */
+/**
+ * The parts that are refused in the first and in the last pass: a part of each
+ * kind is kept until all others have shed theirs. The rest is always admitted,
+ * so that callers of the least important requests are still served occasionally
+ * and can tell that the service is up.
+ */
 type Parts = {first: number; last: number};
 
+/** The larger part of the most important kind is kept until the last pass. */
 const partsOfMostImportant: Parts = {first: 0.4, last: 0.57};
 const partsOfOthers: Parts = {first: 0.8, last: 0.17};
-/** A kind is joined with the next requests if it costs this many times less. */
+/**
+ * A kind is refused together with the next more important requests if it costs
+ * this many times less: otherwise many callers would be refused to spare one of
+ * them.
+ */
 const cheapFactor = 3;
 /** The minimum width of a slice, so that its refused ratio changes gradually with the level. */
 const minWidth = 0.01;
 
-/** Returns the slices of each kind; kinds that cost the service nothing have none. */
+/**
+ * Returns the slices of each kind; kinds that cost the service nothing have
+ * none. The least important priority comes first, and within it the most
+ * expensive kind. Each kind covers the range of levels that corresponds to its
+ * share of the load, so that the same step of the level always frees the same
+ * amount.
+ */
 export function orderLoad(
 	demands: readonly LoadDemand[],
 ): Map<string, ShedSlice[]> {
--- a/packages/mesh/src/decisions/target-admission.ts
+++ b/packages/mesh/src/decisions/target-admission.ts
@@ -1,14 +1,11 @@
 /**
- * Admission control for one target: decides whether a request runs, waits or
- * is refused.
+ * Admission control for one target: decides whether a request runs, waits or is
+ * refused.
  *
  * Load pattern: a burst above what the target can run at once. A saturated
  * target may stop answering, and work in its own queue can't be withdrawn or
  * reordered. So no more requests are handed over than it runs at once, and the
- * rest is queued here: first calls of requests that already run and new
- * requests that make no further calls, then other new requests by priority,
- * each in order of arrival. A request that can't run within its maximum wait is
- * refused immediately, so that its caller can still try elsewhere.
+ * rest is queued here or refused.
  */
 
 /** The properties of a request that admission depends on. */
@@ -33,7 +30,11 @@
 
 /** Admission control of one target; times are in milliseconds of the steady clock. */
 export type TargetAdmission<T> = {
-	/** Decides about a request; one that is to wait is queued. */
+	/**
+	 * Decides about a request; one that is to wait is queued. A request that
+	 * can't run within its maximum wait is refused immediately, so that its
+	 * caller can still try elsewhere.
+	 */
 	offer(request: AdmissionRequest, item: T, now: number): AdmissionDecision;
 	/** Records that a running request has ended; its duration is undefined when it doesn't reflect the target's speed. */
 	finish(duration: number | undefined): void;
@@ -196,6 +197,11 @@
 	return undefined;
 }
 
+/**
+ * The position of a request's queue; each queue is in order of arrival. First
+ * come calls of requests that already run and new requests that make no further
+ * calls, then other new requests by priority.
+ */
 function rankOf({isNearCompletion, priority}: AdmissionRequest): number {
 	return isNearCompletion ? 0 : priority + 1;
 }
--- a/packages/mesh/src/decisions/target-selection.ts
+++ b/packages/mesh/src/decisions/target-selection.ts
@@ -4,16 +4,8 @@
  * Load pattern: targets of one service differ in speed by a factor of three,
  * and data centres have unequal numbers of them. If only near targets are used,
  * the only target of a data centre is overloaded while others idle; if always
- * the least occupied, most calls cross between data centres needlessly. So the
- * local target is used while it has room, then those of the same data centre;
- * beyond that, one of another data centre is used only if it saves more waiting
- * time than the crossing costs, which grows with the size of the body.
- *
- * Of two random candidates, the less occupied is selected: the best of all
- * would get the work of every node at once, because all nodes see the same
- * report (Mitzenmacher, "The Power of Two Choices", 2001). Near and far targets
- * are drawn separately: in a common draw, a third of the pairs are two far
- * targets, and most calls of a full service would cross needlessly.
+ * the least occupied, most calls cross between data centres needlessly. So a
+ * call crosses only if it saves more waiting time than the crossing costs.
  */
 import type {Random} from '@egretspoke/shared';
 
@@ -58,7 +50,13 @@
 /** The occupancy added for each further doubling of a target's run time. */
 const slownessCost = 0.3;
 
-/** Selects a candidate for a request with a body of `bodyBytes`; undefined when there is none. */
+/**
+ * Selects a candidate for a request with a body of `bodyBytes`; undefined when
+ * there is none. The local target is used while it has room, then those of the
+ * same data centre; beyond that, one of another data centre is used only if it
+ * saves more waiting time than the crossing costs, which grows with the size of
+ * the body.
+ */
 export function selectTarget<T extends Candidate>(
 	candidates: T[],
 	random: Random,
@@ -98,6 +96,10 @@
 
 type Weighted<T> = {candidate: T; weight: number};
 
+/**
+ * Draws near and far targets separately: in a common draw, a third of the pairs
+ * are two far targets, and most calls of a full service would cross needlessly.
+ */
 function drawNearOrFar<T extends Candidate>(
 	weighted: Array<Weighted<T>>,
 	random: Random,
@@ -119,6 +121,11 @@
 	return near.weight <= far.weight + crossingCost ? near : far;
 }
 
+/**
+ * Returns the less occupied of two random candidates. The best of all would get
+ * the work of every node at once, because all nodes see the same report
+ * (Mitzenmacher, "The Power of Two Choices", 2001).
+ */
 function drawBetter<T extends Candidate>(
 	weighted: Array<Weighted<T>>,
 	random: Random,
--- a/packages/mesh/src/decisions/transit-delay.ts
+++ b/packages/mesh/src/decisions/transit-delay.ts
@@ -4,14 +4,16 @@
  * Load pattern: a throttled link, or a node that gets too little processor
  * time. A request carries the time that it had left when it was sent; after a
  * delay of a second, its target would run it although its caller no longer
- * waits. So each message carries its sending time by the sender's clock. The
- * minimum difference to the receiver's clock over the last seconds is that of a
- * message without delay; whatever exceeds it is delay.
+ * waits. So each message carries its sending time by the sender's clock.
  */
 
 /** The delays of one link. */
 export type TransitDelay = {
-	/** The delay in milliseconds beyond that of the fastest recent message; each time is by the steady clock of its own node. */
+	/**
+	 * Returns the delay in milliseconds; each time is by the steady clock of
+	 * its own node. The minimum difference of the two clocks over the last
+	 * seconds is that of a message without delay; whatever exceeds it is delay.
+	 */
 	measure(sentAt: number, receivedAt: number): number;
 };
 
--- a/packages/mesh/src/decisions/weighted-rotation.ts
+++ b/packages/mesh/src/decisions/weighted-rotation.ts
@@ -3,17 +3,19 @@
  *
  * With a random choice, the share of a service with few requests is far off its
  * weight for seconds: an operator who moves a tenth of the traffic may see a
- * fifth move. So this is a smooth weighted round-robin: with every request each
- * service gains its weight, and the service with the highest total is selected
- * and loses the sum of all weights. Any sequence of requests is then within one
- * request of the weights.
+ * fifth move. So this is a smooth weighted round-robin: any sequence of
+ * requests is within one request of the weights.
  */
 import type {WeightedService} from '../route.js';
 
 /** Selects the service of the next request. */
 export type WeightedRotation = {next(): string};
 
-/** Creates a rotation; services of weight 0 are not selected unless all weights are 0. */
+/**
+ * Creates a rotation; services of weight 0 are not selected unless all weights
+ * are 0. With every request each service gains its weight, and the service with
+ * the highest total is selected and loses the sum of all weights.
+ */
 export function createWeightedRotation(
 	services: WeightedService[],
 ): WeightedRotation {
--- a/packages/mesh/src/member-register.ts
+++ b/packages/mesh/src/member-register.ts
@@ -1,12 +1,8 @@
 /**
  * Member discovery: each node writes one row to the store and then reads the
- * rows of the others. Of any two nodes the later one sees the row of the earlier
- * one and links to it, and that link notifies the earlier one, so no node has to
- * follow the table. Rare re-reads reconnect members after a partition.
- *
- * Each write expects the version that this node saw last. A write whose answer
- * was lost may still be executed seconds later; its condition is false by then
- * if this node has written since, so an old row never replaces a new one.
+ * rows of the others. Of any two nodes the later one sees the row of the
+ * earlier one and links to it, and that link notifies the earlier one, so no
+ * node has to follow the table.
  */
 import {sleep, type Clock, type Random} from '@egretspoke/shared';
 import {z} from 'zod';
@@ -48,7 +44,10 @@
 };
 
 const table = 'members';
-/** Milliseconds between two reads of the table, randomized by half more or less. */
+/**
+ * Milliseconds between two reads of the table, randomized by half more or less.
+ * Rare re-reads reconnect members after a partition.
+ */
 const rereadInterval = 60_000;
 /** Milliseconds between two attempts while the store fails; doubled up to the maximum. */
 const initialBackoff = 200;
@@ -76,6 +75,12 @@
 		return writing;
 	};
 
+	/**
+	 * Writes the row on the condition that its version is the one that this
+	 * node saw last. A write whose answer was lost may still be executed
+	 * seconds later; its condition is false by then if this node has written
+	 * since, so an old row never replaces a new one.
+	 */
 	const writeOnce = async (): Promise<boolean> => {
 		for (let tries = 0; tries < 3; tries++) {
 			// A conflict can return a leaving target that an earlier start acknowledged; it is written again.
--- a/packages/mesh/src/peer-link.ts
+++ b/packages/mesh/src/peer-link.ts
@@ -4,10 +4,7 @@
  *
  * A connection may stop delivering without a reset while new ones work, and all
  * requests on it would wait until their deadlines; silent links are therefore
- * probed. While the answer to a probe is late, the link is chosen only if there
- * is no other. After the timeout it gets no new requests and a second connection
- * is opened at once. Idempotent requests then count as lost; the others stay
- * pending, because their answers may still arrive.
+ * probed.
  */
 import type {Clock, Timer} from '@egretspoke/shared';
 import {WebSocket} from 'ws';
@@ -41,7 +38,10 @@
 /** A link that reconnects automatically. */
 export type PeerLink = TargetChannel & {
 	isUsable(): boolean;
-	/** Whether the answer to a probe is late. */
+	/**
+	 * Whether the answer to a probe is late. The link is then chosen only if
+	 * there is no other.
+	 */
 	isSilent(): boolean;
 	/** Number of requests without an outcome. */
 	outstanding(): number;
@@ -202,6 +202,11 @@
 		}
 	};
 
+	/**
+	 * Opens a second connection at once; the silent one gets no new requests.
+	 * Its idempotent requests count as lost; the others stay pending, because
+	 * their answers may still arrive.
+	 */
 	const abandon = (channel: PeerChannel) => {
 		current = undefined;
 		options.onChange(false);
--- a/packages/mesh/src/quota-exchange.ts
+++ b/packages/mesh/src/quota-exchange.ts
@@ -3,10 +3,7 @@
  *
  * The first reachable nodes of a data centre, in an order common to all nodes,
  * are its allocators: the first one grants, the second one receives the same
- * reports and can replace it. The granting allocator sends its totals to the
- * allocators of the other data centres. It grants only while a majority of the
- * nodes of its data centre report to it, because an isolated node would
- * otherwise grant itself whole quotas.
+ * reports and can replace it.
  */
 import type {Clock, Random} from '@egretspoke/shared';
 import {createNameRank} from './decisions/name-rank.js';
@@ -152,6 +149,10 @@
 		return names;
 	};
 
+	/**
+	 * Only while a majority of the nodes of the data centre report to this one,
+	 * because an isolated node would otherwise grant itself whole quotas.
+	 */
 	const mayGrant = (now: number): boolean =>
 		options.isMembershipKnown() &&
 		allocation.isSettled(now) &&
@@ -178,6 +179,10 @@
 		}
 	};
 
+	/**
+	 * Sends the totals of the granting allocator to the allocators of the other
+	 * data centres.
+	 */
 	const sendTotals = () => {
 		const uses = toTuples(allocation.sums(clock.now()));
 		const members = directory().members();
--- a/packages/mesh/src/suspect-register.ts
+++ b/packages/mesh/src/suspect-register.ts
@@ -40,7 +40,10 @@
 };
 
 const table = 'suspects';
-/** Milliseconds after its start within which a node receives from its peers whether it should follow. */
+/**
+ * Milliseconds to wait after the start for the states of peers, which decide
+ * whether this node follows the table.
+ */
 const startDelay = 1000;
 
 /** Creates a register that has not started. */
--- a/packages/mesh/src/target-client.ts
+++ b/packages/mesh/src/target-client.ts
@@ -2,11 +2,10 @@
  * HTTP client for the local target, over persistent connections.
  *
  * A connection can deliver bytes that belong to no request: a second answer, a
- * truncated answer, or invalid data. A caller would then receive another
- * caller's data as a success. Therefore an answer is accepted only if it repeats
- * the request's id, is complete by its framing, and, if it is a success,
- * carries the target's signature. Otherwise the connection is closed and the
- * request counts as lost.
+ * truncated one, or invalid data. A caller would then receive another caller's
+ * data as a success. So an answer is accepted only if it repeats the request's
+ * id, is complete by its framing, and, if it is a success, carries the target's
+ * signature. Otherwise the connection is closed and the request counts as lost.
  */
 import {Buffer} from 'node:buffer';
 import type {Dispatcher} from 'undici';
--- a/packages/mesh/src/target-connections.ts
+++ b/packages/mesh/src/target-connections.ts
@@ -4,11 +4,6 @@
  *
  * An answer without a length ends with its connection and is complete only if
  * that was closed, not reset; otherwise a truncated answer would pass as whole.
- * `undici` treats a reset as an end, and Node reports an end when the last bytes
- * and the reset are read in the same tick. So each connection records resets
- * and probes with a write: it fails after a reset, but succeeds if the other
- * side closed. The probe is an empty line, which servers ignore (RFC 9112,
- * section 2.2).
  */
 import type {Socket} from 'node:net';
 import {buildConnector, Client, type Dispatcher} from 'undici';
@@ -50,6 +45,8 @@
 	let isClosed = false;
 
 	const create = (): TargetConnection => {
+		// Resets are recorded here, because `undici` treats a reset as an end. Node itself reports an end when the
+		// last bytes and the reset are read in the same tick, so `checkCleanClose` also probes with a write.
 		let isReset = false;
 		let socket: Socket | undefined;
 		const client = new Client(`http://${address}`, {
@@ -79,6 +76,8 @@
 					return;
 				}
 
+				// The write fails after a reset, but succeeds if the other side closed.
+				// Servers ignore an empty line (RFC 9112, section 2.2).
 				socket.write('\r\n', (error) => {
 					onResult(!error);
 				});
--- a/packages/mesh/src/target-dispatcher.ts
+++ b/packages/mesh/src/target-dispatcher.ts
@@ -1,6 +1,5 @@
 /**
- * Dispatches requests to the local target. Every request to that target passes
- * through its own node.
+ * Dispatches requests to the local target; all of them pass through its node.
  *
  * The target's guarantees are enforced here from local state alone: its
  * concurrency, the order of requests, that it receives no new requests after
--- a/packages/mesh/src/target-record.ts
+++ b/packages/mesh/src/target-record.ts
@@ -1,12 +1,11 @@
 /**
  * The record of a node's local target, built from the target's announcements.
- *
- * Announcements may arrive late and out of order: one sent before its sender
- * crashed may arrive after the next target has announced itself on the same
- * address, and a "ready" may arrive after the "leaving" that followed it.
- * Applied in order of arrival, they would route requests to a target that is
- * gone or was promised no more work. So announcements are ordered by start time
- * and then by sequence, and leaving is final for one incarnation.
+ * These may arrive late and out of order: one sent before its sender crashed
+ * may arrive after the next target has announced itself on the same address,
+ * and a "ready" may arrive after the "leaving" that followed it. Applied in
+ * order of arrival, they would route requests to a target that is gone or was
+ * promised no more work. So they are ordered by start time and then by
+ * sequence, and leaving is final for one incarnation.
  */
 import {z} from 'zod';
 
