--- a/packages/mesh/src/deadline-wheel.ts
+++ b/packages/mesh/src/deadline-wheel.ts
@@ -7,7 +7,10 @@
  */
 import type {Clock, Timer} from '@egretspoke/shared';
 
-/** Tick length, by which a deadline may fire late, in milliseconds; callers must be answered within a quarter of a second. */
+/**
+ * Tick length in milliseconds. A deadline may fire late by one tick; callers
+ * must be answered within a quarter of a second.
+ */
 export const wheelTick = 40;
 
 /** Runs callbacks at deadlines, up to one tick late. */
--- a/packages/mesh/src/decisions/mesh-policy.ts
+++ b/packages/mesh/src/decisions/mesh-policy.ts
@@ -1,7 +1,7 @@
 /**
- * The decisions of a node as one replaceable object, so that the default policy
- * can be compared with a naive one over the same transport, and each of its
- * mechanisms with a policy that lacks it.
+ * The decisions of a node as one replaceable object: over the same transport,
+ * the default policy can be compared with a naive one, or with itself without
+ * one of its mechanisms.
  */
 import type {Random} from '@egretspoke/shared';
 import {err, ok, type Result} from 'neverthrow';
--- a/packages/mesh/src/decisions/peer-subset.ts
+++ b/packages/mesh/src/decisions/peer-subset.ts
@@ -18,7 +18,7 @@
 	isUnreachable: boolean;
 };
 
-/** How many members that can take work a subset should have. */
+/** The desired number of members of a subset that can take work. */
 export type SubsetSize = {
 	/** In the same data centre, if it has that many. */
 	near: number;
@@ -30,7 +30,10 @@
 export const activeSubsetSize: SubsetSize = {near: 5, total: 8};
 /** The subset for a service without requests here: enough to receive its state and to start immediately. */
 export const idleSubsetSize: SubsetSize = {near: 3, total: 5};
-/** Candidates per wanted member; beyond them, the members of a service that is down are not tried. */
+/**
+ * Candidates tried per wanted member, so that a node doesn't link to all
+ * members of a service that is down.
+ */
 const candidatesPerMember = 3;
 
 /**
--- a/packages/mesh/src/known-members.ts
+++ b/packages/mesh/src/known-members.ts
@@ -10,11 +10,9 @@
 	/** Returns the members whose targets belong to the service. */
 	of(service: string): Member[];
 	services(): string[];
-	/** Returns all known members. */
 	all(): Member[];
 	/** Incremented when a member is added, moved or removed. */
 	revision(): number;
-	/** Number of known members. */
 	size(): number;
 };
 
--- a/packages/mesh/src/route-pressure.ts
+++ b/packages/mesh/src/route-pressure.ts
@@ -33,7 +33,6 @@
 
 /** The overload of services, as it applies to the requests of one entry node. */
 export type RoutePressure = {
-	/** Records a caller's request. */
 	recordRequest(work: NewWork): void;
 	/** The share of such work that is shed, from 0 to 1: the maximum over the services it needs. */
 	shareRefused(work: NewWork): number;
--- a/packages/mesh/src/table-feed.ts
+++ b/packages/mesh/src/table-feed.ts
@@ -16,10 +16,10 @@
 };
 
 /**
- * Bounds of the milliseconds that a call of the feed waits for a change. A feed
- * whose connection has stalled is detected only after this wait. Each node draws
- * a random wait to spread the calls of the fleet, so that there is always a
- * recent call, whose node notifies the others.
+ * Bounds of the time, in milliseconds, for which a call of the feed waits for a
+ * change. A feed whose connection has stalled is detected only after this wait.
+ * Each node draws a random wait to spread the calls of the fleet, so that there
+ * is always a recent call, whose node notifies the others.
  */
 const minWait = 6000;
 const maxWait = 10_000;
--- a/packages/mesh/src/target-access.ts
+++ b/packages/mesh/src/target-access.ts
@@ -27,7 +27,6 @@
 	close(): void;
 	/** Marks the target as reachable after an announcement; the next request shows whether it is. */
 	assumeReachable(): void;
-	/** Records an answer of the target. */
 	recordAnswer(): void;
 	/**
 	 * Replaces the idle connections. Connections can die without a reset, all at
