--- a/packages/benchmark/src/quarantine-cost.ts
+++ b/packages/benchmark/src/quarantine-cost.ts
@@ -1,4 +1,4 @@
-/** What the look into the quarantine costs a request, in nanoseconds. */
+/** Measures the cost of a quarantine lookup for a request in nanoseconds. */
 import {performance} from 'node:perf_hooks';
 import {createVirtualClock} from '@egretspoke/shared';
 import {
@@ -7,15 +7,15 @@
 	type Quarantine,
 	type RequestParts,
 } from '@egretspoke/quarantine';
-import {toMedian} from './median.js';
+import {computeMedianCost} from './median.js';
 
-/** Median nanoseconds of a look. */
+/** Median cost of a lookup in nanoseconds. */
 export type QuarantineCosts = {
-	/** While no target has crashed. */
+	/** No target has crashed. */
 	lookWhenEmpty: number;
-	/** Beside suspects on other paths. */
+	/** All suspects have other paths. */
 	lookOnOtherPath: number;
-	/** At a suspect without a body, and with one of 50 kB. */
+	/** The request is a suspect, without a body and with one of 50 kB. */
 	lookAtSuspect: number;
 	lookAtLargeSuspect: number;
 };
@@ -23,37 +23,37 @@
 const batches = 2000;
 const batchSize = 50;
 const largeBody = 50_000;
-/** Crashes and requests of each that fill a quarantine. */
+/** Number of crashes, and requests of each, that fill a quarantine. */
 const fillingCrashes = 12;
 const requestsOfCrash = 128;
 
-/** Measures. */
+/** Measures lookups in an empty and in a full quarantine. */
 export function measureQuarantine(): QuarantineCosts {
-	const empty = createLoneQuarantine();
-	const full = createLoneQuarantine();
+	const empty = createIsolatedQuarantine();
+	const full = createIsolatedQuarantine();
 	for (let crash = 0; crash < fillingCrashes; crash++) {
-		crashUnder(full, (index) => createParts(`${crash}-${index}`));
+		recordCrash(full, (index) => createParts(`${crash}-${index}`));
 	}
 
 	const small = createParts('suspect');
 	const large = {...small, body: new Uint8Array(largeBody)};
-	crashUnder(full, (index) => (index === 0 ? small : large));
+	recordCrash(full, (index) => (index === 0 ? small : large));
 	const other = createParts('other');
 	return {
-		lookWhenEmpty: measureLook(empty, other),
-		lookOnOtherPath: measureLook(full, other),
-		lookAtSuspect: measureLook(full, small),
-		lookAtLargeSuspect: measureLook(full, large),
+		lookWhenEmpty: measureLookup(empty, other),
+		lookOnOtherPath: measureLookup(full, other),
+		lookAtSuspect: measureLookup(full, small),
+		lookAtLargeSuspect: measureLookup(full, large),
 	};
 }
 
-function createLoneQuarantine(): Quarantine {
+function createIsolatedQuarantine(): Quarantine {
 	const ignore = () => undefined;
 	return createQuarantine({
 		clock: createVirtualClock(),
-		spread: ignore,
-		passOn: ignore,
-		keep: ignore,
+		broadcast: ignore,
+		gossip: ignore,
+		persist: ignore,
 		onQuarantined: ignore,
 	});
 }
@@ -68,11 +68,11 @@
 	};
 }
 
-function crashUnder(
+function recordCrash(
 	quarantine: Quarantine,
 	partsOf: (index: number) => RequestParts,
 ): void {
-	quarantine.noteCrash(
+	quarantine.recordCrash(
 		Array.from({length: requestsOfCrash}, (_, index) => ({
 			identity: identifyRequest(partsOf(index)),
 			startedAt: 0,
@@ -81,7 +81,7 @@
 	);
 }
 
-function measureLook(quarantine: Quarantine, parts: RequestParts): number {
+function measureLookup(quarantine: Quarantine, parts: RequestParts): number {
 	const durations: number[] = [];
 	for (let batch = 0; batch < batches; batch++) {
 		const begin = performance.now();
@@ -92,5 +92,5 @@
 		durations.push(performance.now() - begin);
 	}
 
-	return toMedian(durations, batchSize);
+	return computeMedianCost(durations, batchSize);
 }
--- a/packages/command/src/demo-processes.ts
+++ b/packages/command/src/demo-processes.ts
@@ -1,7 +1,7 @@
 /**
- * The processes of the demonstration: the platform's stand-in, and for each
- * VM a stand-in target with its node. Everything listens on loopback, on ports
- * that the system chooses.
+ * The processes of the demonstration: a stand-in for the platform, and for each
+ * VM a stand-in target with its node. All listen on the loopback interface, on
+ * ports that the operating system assigns.
  */
 import {mkdtemp, rm, writeFile} from 'node:fs/promises';
 import {tmpdir} from 'node:os';
@@ -12,7 +12,7 @@
 	Child,
 	readStartedNode,
 	readText,
-	scriptBeside,
+	resolveScript,
 	startChild,
 } from '@egretspoke/stand-ins';
 
@@ -22,32 +22,32 @@
 	dataCentre: string;
 	service: string;
 	calls: string[];
-	/** Milliseconds of the target's own work. */
+	/** Processing time of the target, in milliseconds, without its calls. */
 	serviceTime: number;
 };
 
-/** A VM that runs. */
+/** A running VM. */
 export type DemoNode = DemoMachine & {
-	/** `ip:port` of the listeners for callers and for operators. */
+	/** Addresses of the listeners for callers and for operators, as `ip:port`. */
 	caller: string;
 	admin: string;
 	process: Child;
 	target: Child;
 };
 
-/** Everything that runs. */
+/** All running processes. */
 export type DemoCluster = {
 	nodes: DemoNode[];
-	/** Prints what happened. */
-	say(line: string): void;
+	/** Prints a line of output. */
+	print(line: string): void;
 	/** Runs the operator program and resolves with its exit code and output. */
-	operate(
+	runCommand(
 		admin: string,
 		parameters: string[],
 	): Promise<{code: number | undefined; output: string; errors: string}>;
-	/** Writes a file that the operator program can read. */
+	/** Writes a file for the operator program and resolves with its path. */
 	write(name: string, text: string): Promise<string>;
-	/** Ends everything; the number of processes that did not end by themselves. */
+	/** Stops all processes; resolves with the number of nodes that did not exit with code 0. */
 	stop(): Promise<number>;
 };
 
@@ -55,13 +55,13 @@
 	startChild: typeof startChild;
 	readStartedNode: typeof readStartedNode;
 	readText: typeof readText;
-	scriptBeside: typeof scriptBeside;
+	resolveScript: typeof resolveScript;
 };
 
 const slots = 8;
 const connections = 64;
 
-/** The stand-ins ship with the repository only. */
+/** Loads the stand-ins; resolves with undefined outside the repository, because they are not published. */
 export async function loadStandIns(): Promise<StandIns | undefined> {
 	try {
 		return await import('@egretspoke/stand-ins');
@@ -70,11 +70,11 @@
 	}
 }
 
-/** Starts the processes one after another and resolves when all serve. */
+/** Starts the platform, then all VMs; resolves when all nodes are ready. */
 export async function startCluster(
 	standIns: StandIns,
 	machines: DemoMachine[],
-	say: (line: string) => void,
+	print: (line: string) => void,
 ): Promise<DemoCluster> {
 	const directory = await mkdtemp(path.join(tmpdir(), 'egretspoke-demo-'));
 	const children: Child[] = [];
@@ -96,7 +96,7 @@
 	): Promise<DemoNode> => {
 		const {service, calls, serviceTime, node, dataCentre} = machine;
 		const target = start(
-			standIns.scriptBeside(
+			standIns.resolveScript(
 				import.meta.resolve('@egretspoke/stand-ins'),
 				'target-main.js',
 			),
@@ -121,17 +121,20 @@
 			}),
 		);
 		const child = start(
-			standIns.scriptBeside(import.meta.resolve('@egretspoke/node'), 'main.js'),
+			standIns.resolveScript(
+				import.meta.resolve('@egretspoke/node'),
+				'main.js',
+			),
 			['--settings', settings],
 		);
 		const {caller, admin} = await child.waitFor(standIns.readStartedNode);
-		await target.ask(`announce ${caller}`);
-		say(`  ${node} serves ${service} in ${dataCentre}: callers ${caller}`);
+		await target.sendCommand(`announce ${caller}`);
+		print(`  ${node} serves ${service} in ${dataCentre}: callers ${caller}`);
 		return {...machine, caller, admin, process: child, target};
 	};
 
 	const platform = start(
-		standIns.scriptBeside(
+		standIns.resolveScript(
 			import.meta.resolve('@egretspoke/stand-ins'),
 			'platform-main.js',
 		),
@@ -140,16 +143,16 @@
 	const platformAddress = await platform.waitFor((line) =>
 		standIns.readText(line, 'address'),
 	);
-	say(`  the platform's stand-in listens on ${platformAddress}`);
+	print(`  the stand-in for the platform listens on ${platformAddress}`);
 	const nodes = await Promise.all(
 		machines.map(async (machine) => startMachine(machine, platformAddress)),
 	);
 	return {
 		nodes,
-		say,
+		print,
 		write,
-		async operate(admin, parameters) {
-			const child = start(standIns.scriptBeside(import.meta.url, 'main.js'), [
+		async runCommand(admin, parameters) {
+			const child = start(standIns.resolveScript(import.meta.url, 'main.js'), [
 				...parameters,
 				'--node',
 				admin,
--- a/packages/command/src/log-story-output.ts
+++ b/packages/command/src/request-trace-output.ts
@@ -1,28 +1,28 @@
-/** Reads logs for the story of a request, and prints it. */
+/** Reads the trace of a request from log files and prints it. */
 import {createReadStream} from 'node:fs';
 import process from 'node:process';
 import {createInterface} from 'node:readline';
 import type {
 	LogEntry,
-	LogStory,
-	LogStoryReader,
+	RequestTrace,
+	RequestTraceReader,
 } from '@egretspoke/observability';
 import {printJson, type CommandHost} from './command-host.js';
 import {exitCodes} from './exit-code.js';
 import {renderTable, type Column} from './table.js';
 import type {Terminal} from './terminal.js';
 
-/** Reads the files one after the other; gives what can't be read. */
+/** Reads the files in sequence; on failure resolves with an error message. */
 export async function readLogs(
-	reader: LogStoryReader,
+	reader: RequestTraceReader,
 	files: readonly string[],
 ): Promise<string | undefined> {
 	for (const file of files) {
 		const input = file === '-' ? process.stdin : createReadStream(file);
 		try {
-			// eslint-disable-next-line no-await-in-loop -- one file after the other.
+			// eslint-disable-next-line no-await-in-loop -- files are read in sequence.
 			for await (const line of createInterface({input})) {
-				reader.take(line);
+				reader.addLine(line);
 			}
 		} catch (error) {
 			const {code} = error as NodeJS.ErrnoException;
@@ -33,27 +33,32 @@
 	return undefined;
 }
 
-/** Prints the story; ends as refused when no line is about the request. */
-export function showStory(
+/** Prints the trace; sets the exit code `refused` when no line is about the request. */
+export function showRequestTrace(
 	{terminal, finish}: CommandHost,
-	story: LogStory,
+	requestTrace: RequestTrace,
 	{json}: {json?: boolean},
 ): void {
 	if (json) {
-		printJson(terminal, story);
+		printJson(terminal, requestTrace);
 	} else {
-		printStory(terminal, story);
+		printRequestTrace(terminal, requestTrace);
 	}
 
-	finish(story.decisions.length > 0 ? exitCodes.done : exitCodes.refused);
+	finish(
+		requestTrace.decisions.length > 0 ? exitCodes.done : exitCodes.refused,
+	);
 }
 
-function printStory(terminal: Terminal, story: LogStory): void {
-	const {request, decisions, repeats, beliefs} = story;
-	const {linesDropped, unreadable} = story;
+function printRequestTrace(
+	terminal: Terminal,
+	requestTrace: RequestTrace,
+): void {
+	const {request, decisions, repeats, beliefs} = requestTrace;
+	const {linesDropped, unreadable} = requestTrace;
 	if (decisions.length === 0) {
 		terminal.write(
-			`no line about request ${request}: its target answered it at the first try, or the log of its entry node is missing\n`,
+			`no line about request ${request}: its target answered the first attempt, or the log of its entry node is missing\n`,
 		);
 	} else {
 		terminal.write(`request ${request}\n`);
@@ -66,7 +71,7 @@
 	}
 
 	if (beliefs.length > 0) {
-		terminal.write('\nwhat these nodes had come to believe before\n');
+		terminal.write('\nrelated notices of these nodes\n');
 		terminal.write(renderTable(beliefs, entryColumns, terminal.colour));
 	}
 
@@ -90,7 +95,7 @@
 	{heading: 'DETAILS', cell: ({details}) => renderDetails(details ?? {})},
 ];
 
-/** Details as `key=value`. */
+/** Formats details as `key=value` pairs. */
 export function renderDetails(
 	details: Readonly<Record<string, string | number | boolean>>,
 ): string {
--- a/packages/command/src/targets-command.ts
+++ b/packages/command/src/targets-command.ts
@@ -1,4 +1,4 @@
-/** `egretspoke targets`: the targets that a node knows. */
+/** `egretspoke targets`: lists the targets that a node knows. */
 import {targetRowSchema, type TargetRow} from '@egretspoke/protocol';
 import type {Command} from 'commander';
 import {z} from 'zod';
@@ -52,7 +52,7 @@
 	{heading: 'CALLERS', cell: ({callerAddress}) => callerAddress},
 	{heading: 'VERSION', cell: ({configurationVersion}) => configurationVersion},
 	{
-		heading: 'HEARD',
+		heading: 'LAST SEEN',
 		cell: ({heardSecondsAgo}) => `${Math.round(heardSecondsAgo)} s ago`,
 	},
 ];
--- a/packages/command/src/validate-command.ts
+++ b/packages/command/src/validate-command.ts
@@ -1,4 +1,4 @@
-/** `egretspoke validate`: every fault of a file, without a node. */
+/** `egretspoke validate`: reports all faults of a file, without calling a node. */
 import {readIntents} from '@egretspoke/control';
 import {readDocument, readTextFile, type Finding} from '@egretspoke/shared';
 import {nodeSettingsSchema, parseNodeSettings} from '@egretspoke/node';
@@ -14,7 +14,7 @@
 import {exitCodes} from './exit-code.js';
 
 type Reader = {
-	/** The keys by which a file of this kind is known. */
+	/** The keys that identify a file of this kind. */
 	keys: readonly string[];
 	read(text: string, file: string): Result<unknown, Finding[]>;
 };
@@ -52,7 +52,7 @@
 		.addOption(
 			new Option(
 				'--kind <kind>',
-				'what the file is; its keys tell otherwise',
+				'the kind of the file; detected from its keys by default',
 			).choices(kinds),
 		)
 		.addHelpText('after', '\nExample:\n  egretspoke validate node.yaml');
@@ -73,7 +73,7 @@
 		return;
 	}
 
-	const kind = options.kind ?? recogniseKind(text.value, file);
+	const kind = options.kind ?? detectKind(text.value, file);
 	const result = readers[kind].read(text.value, file);
 	if (result.isErr()) {
 		refuseWithFindings(host, result.error, options);
@@ -89,15 +89,15 @@
 	host.finish(exitCodes.done);
 }
 
-/** The kind that knows most of the keys at the top of the file, or of its list of intents. */
-function recogniseKind(text: string, file: string): Kind {
+/** Returns the kind that matches most of the top-level keys of the file, or of the intents in its list. */
+function detectKind(text: string, file: string): Kind {
 	const map = z.record(z.string(), z.unknown());
 	const schema = z.union([map, z.array(map)]);
-	const written = readDocument({text, file, schema}).map((value) =>
+	const topLevelKeys = readDocument({text, file, schema}).map((value) =>
 		[value].flat().flatMap((each) => Object.keys(each)),
 	);
 	const countKnown = (kind: Kind) =>
-		written
+		topLevelKeys
 			.unwrapOr([])
 			.filter((key) => (readers[kind].keys as readonly string[]).includes(key))
 			.length;
--- a/packages/control/src/confirm.ts
+++ b/packages/control/src/confirm.ts
@@ -1,14 +1,13 @@
 /**
- * Confirms a plan: one transaction writes the head row on condition that it
- * still is the plan's base, the version's body, and the plan's record.
+ * Confirms a plan: one transaction writes the head row on condition that it is
+ * still the plan's base, together with the version's body and the plan's record.
  *
- * What goes wrong without the condition: two operators confirm plans made
- * from the same version, and the second silently undoes the first. One notices
- * a payment rule gone that somebody was told is in force. What goes wrong
- * without the plan's record: the answer to the write is lost, the operator is
- * told that it failed and confirms again or plans anew. The record is written
- * in the same transaction, so whoever reads it knows; and the same transaction
- * may be sent again, since its own conditions keep it from taking effect twice.
+ * Without the condition, two operators could confirm plans made from the same
+ * version, and the second would silently undo the first, such as a payment rule
+ * that was reported as in force. Without the plan's record, an operator whose
+ * response was lost would have to confirm or plan again without the outcome. The
+ * record shows the outcome to every reader, and the same transaction may be
+ * retried, because its conditions prevent a second effect.
  */
 import type {ConfirmAnswer} from '@egretspoke/protocol';
 import type {Platform, PlatformError, TableWrite} from '@egretspoke/storage';
@@ -21,35 +20,35 @@
 	readPlan,
 	versionKey,
 	type Head,
-	type Kept,
+	type Stored,
 	type PlanRecord,
 } from './configuration-store.js';
 
-/** What a confirmation needs. */
+/** Dependencies of a confirmation. */
 export type ConfirmOptions = {
 	platform: Platform;
 	clock: Clock;
 	random: Random;
-	/** How the head is written; only tests take another than the default. */
+	/** How the head is written; replaced in tests only. */
 	headWrite?: HeadWrite;
 };
 
-/** The condition on the head row, by the way it is written. */
+/** The way in which the head row is written. */
 export type HeadWrite = keyof typeof headConditions;
 
-/** `overwrite` is the naive way, for the proof that the condition matters. */
+/** The conditions on the head row; `overwrite` is the naive way, for tests only. */
 export const headConditions = {
 	compareAndSet: (rowVersion: number) => ({ifVersion: rowVersion}),
 	overwrite: (_rowVersion: number) => ({}),
 } as const;
 
-/** How often an unknown write is looked at again before the operator is told so. */
+/** Attempts to determine the outcome of a write before it is reported as unknown. */
 const settleAttempts = 4;
 
-/** Milliseconds before the first look; doubles with each. */
-const settleDelay = 200;
+/** Backoff before the first of these attempts, in milliseconds; doubles with each. */
+const initialSettleDelay = 200;
 
-/** Confirms a plan by its id; `notFound` when the platform has no such plan. */
+/** Confirms a plan by its id; resolves with `notFound` when the platform has no such plan. */
 export async function confirmPlan(
 	id: string,
 	options: ConfirmOptions,
@@ -65,7 +64,7 @@
 		: {result: 'unavailable', plan: id, detail};
 }
 
-/** An attempt's end: an answer, or a failure that may leave an effect. */
+/** The result of an attempt: an answer, or a failure after which a write may have taken effect. */
 type Attempt = Result<ConfirmAnswer | 'notFound', PlatformError>;
 
 async function attempt(id: string, options: ConfirmOptions): Promise<Attempt> {
@@ -81,7 +80,7 @@
 	}
 
 	if (record.acceptedVersion !== undefined) {
-		return ok(accept(id, record.acceptedVersion, true));
+		return ok(createAcceptedAnswer(id, record.acceptedVersion, true));
 	}
 
 	const head = await readHead(platform);
@@ -92,15 +91,16 @@
 	const current = head.value.value;
 	const isBase = (current?.version ?? 0) === record.plan.baseVersion;
 	if (!isBase && options.headWrite !== 'overwrite') {
-		return decideLoss(id, record, current, platform);
+		return resolveConflict(id, record, current, platform);
 	}
 
 	return write(id, {record, plan: plan.value, head: head.value}, options);
 }
 
+/** Sends the transaction that accepts the plan. */
 async function write(
 	id: string,
-	found: {record: PlanRecord; plan: Kept<PlanRecord>; head: Kept<Head>},
+	found: {record: PlanRecord; plan: Stored<PlanRecord>; head: Stored<Head>},
 	options: ConfirmOptions,
 ): Promise<Attempt> {
 	const {platform, headWrite = 'compareAndSet'} = options;
@@ -130,32 +130,32 @@
 	];
 	const written = await platform.table.transact(writes);
 	if (written.isOk()) {
-		return ok(accept(id, version, false));
+		return ok(createAcceptedAnswer(id, version, false));
 	}
 
 	if (written.error.kind !== 'conflict') {
 		return err(written.error);
 	}
 
-	const now = await readHead(platform);
-	return now.isErr()
-		? err(now.error)
-		: decideLoss(id, record, now.value.value, platform);
+	const latestHead = await readHead(platform);
+	return latestHead.isErr()
+		? err(latestHead.error)
+		: resolveConflict(id, record, latestHead.value.value, platform);
 }
 
-/** The head is not the plan's base: either another plan won, or this one did earlier. */
-async function decideLoss(
+/** Handles a head that is not the plan's base: another plan was accepted, or this one was earlier. */
+async function resolveConflict(
 	id: string,
 	record: PlanRecord,
 	head: Head | undefined,
 	platform: Platform,
 ): Promise<Attempt> {
-	const again = await readPlan(platform, id);
-	if (again.isErr()) {
-		return err(again.error);
+	const reread = await readPlan(platform, id);
+	if (reread.isErr()) {
+		return err(reread.error);
 	}
 
-	const accepted = again.value.value?.acceptedVersion;
+	const accepted = reread.value.value?.acceptedVersion;
 	return ok(
 		accepted === undefined
 			? {
@@ -166,14 +166,14 @@
 					byPlan: head?.plan ?? '',
 					byAuthor: head?.author ?? '',
 				}
-			: accept(id, accepted, true),
+			: createAcceptedAnswer(id, accepted, true),
 	);
 }
 
 /**
- * The write's answer was lost. Sending the same again settles it: an earlier
- * effect shows in the plan's record, and a write that is still under way can
- * no longer take effect once this one has, or the other way round.
+ * Determines the outcome after the response to a write was lost, by retrying the
+ * same transaction: the plan's record shows an earlier effect, and of a write in
+ * flight and its retry, the conditions let only one take effect.
  */
 async function settle(
 	id: string,
@@ -182,10 +182,10 @@
 ): Promise<ConfirmAnswer | 'notFound'> {
 	const {clock, random} = options;
 	for (let round = 0; round < settleAttempts; round++) {
-		const delay = settleDelay * 2 ** round * (0.5 + random.fraction());
-		// eslint-disable-next-line no-await-in-loop -- each look comes after the one before.
+		const delay = initialSettleDelay * 2 ** round * (0.5 + random.fraction());
+		// eslint-disable-next-line no-await-in-loop -- one attempt after another.
 		await sleep(clock, delay);
-		// eslint-disable-next-line no-await-in-loop -- each look comes after the one before.
+		// eslint-disable-next-line no-await-in-loop -- one attempt after another.
 		const result = await attempt(id, options);
 		if (result.isOk()) {
 			const answer = result.value;
@@ -203,6 +203,10 @@
 	};
 }
 
-function accept(id: string, version: number, repeated: boolean): ConfirmAnswer {
+function createAcceptedAnswer(
+	id: string,
+	version: number,
+	repeated: boolean,
+): ConfirmAnswer {
 	return {result: 'accepted', plan: id, version, repeated};
 }
--- a/packages/control/src/member-view.ts
+++ b/packages/control/src/member-view.ts
@@ -1,6 +1,6 @@
 /**
- * One node's view of the members together with the news it has to pass on:
- * the part of membership that sends nothing and waits for nothing.
+ * One node's view of the members and the queue of records that it has to
+ * gossip. It does no I/O and sets no timers.
  */
 import type {Member} from '@egretspoke/protocol';
 import {createSubject, type Clock} from '@egretspoke/shared';
@@ -10,7 +10,7 @@
 	compareRecords,
 	createMembershipState,
 	expireMembers,
-	hearMember,
+	recordContact,
 	isPresent,
 	mergeMember,
 	mergeRules,
@@ -22,37 +22,37 @@
 import type {MembershipTiming} from './membership-timing.js';
 import {refute} from './own-record.js';
 
-/** The view and what changes it. */
+/** The view of the members and the operations that change it. */
 export type MemberView = {
 	changes: Stream<MemberChange>;
 	self(): Member;
 	entry(node: string): MemberEntry | undefined;
 	entries(): MemberEntry[];
-	/** Every member but this node that is not gone. */
+	/** All other members that are not gone. */
 	present(): Member[];
 	gone(): Member[];
-	/** Replaces the node's own record and tells it first. */
+	/** Replaces the node's own record and queues it for gossip; an urgent one goes first. */
 	setSelf(member: Member, isUrgent: boolean): void;
 	/**
-	 * Takes in records; the first one is the sender's own. Returns what changed.
-	 * What came with all members is not passed on: its sender's neighbours know
-	 * it, and a node that has just joined would have nothing but old news to tell.
+	 * Merges received records, the sender's own first, and returns the changes.
+	 * Records of a full list are not gossiped: the sender's peers have them, and a
+	 * node that has just joined would gossip only old records.
 	 */
-	take(records: Member[], isWhole?: boolean): MemberChange[];
+	applyRecords(records: Member[], isWhole?: boolean): MemberChange[];
 	suspect(node: string): MemberChange | undefined;
 	expire(): void;
-	/** The own record, the addressee's where it should defend itself, and so many news. */
-	news(addressee: string | undefined, limit: number): Member[];
+	/** The own record, up to `limit` queued ones, and the recipient's if it has to refute it. */
+	gossipFor(recipient: string | undefined, limit: number): Member[];
 	/**
-	 * The same for an answer to a sender, who also learns of a newer record of
-	 * itself, such as one of its earlier process whose wall time was ahead.
+	 * The same for an acknowledgement. The sender also receives a newer record of
+	 * itself, such as one of an earlier process whose wall clock was ahead.
 	 */
-	answerNews(sender: Member | undefined, limit: number): Member[];
-	/** All members that are not gone, the own record first. */
+	replyGossip(sender: Member | undefined, limit: number): Member[];
+	/** The own record, then all other members that are not gone. */
 	whole(): Member[];
 };
 
-/** Creates the view of a node that knows only itself. */
+/** Creates a view that holds only the node itself. */
 export function createMemberView(options: {
 	self: Member;
 	clock: Clock;
@@ -66,8 +66,8 @@
 	const selfEntry = state.entries.get(state.self)!;
 	const self = () => selfEntry.member;
 
-	const note = (change: MemberChange, isNews = true) => {
-		if (isNews) {
+	const recordChange = (change: MemberChange, isGossiped = true) => {
+		if (isGossiped) {
 			queue.add(change.member.node, isUrgentChange(change));
 		}
 
@@ -87,11 +87,11 @@
 			.map(({member}) => member)
 			.filter(({node}) => node !== state.self);
 
-	const collectNews = (limit: number, rumour: Member | undefined) => {
+	const collectGossip = (limit: number, requiredRecord: Member | undefined) => {
 		const nodes = new Set(queue.take(limit, state.entries.size));
 		nodes.delete(state.self);
-		if (rumour) {
-			nodes.add(rumour.node);
+		if (requiredRecord) {
+			nodes.add(requiredRecord.node);
 		}
 
 		const records = [...nodes].map((node) => state.entries.get(node)?.member);
@@ -104,12 +104,12 @@
 		entries: () => [...state.entries.values()],
 		present: () => others().filter((member) => isPresent(member)),
 		gone: () =>
-			[...state.fading]
+			[...state.suspectOrGone]
 				.map((node) => state.entries.get(node)!.member)
 				.filter((member) => !isPresent(member)),
 		changes: changes.stream,
 		setSelf,
-		take(records, isWhole = false) {
+		applyRecords(records, isWhole = false) {
 			const now = clock.now();
 			const found: MemberChange[] = [];
 			for (const record of records) {
@@ -124,14 +124,14 @@
 
 				const change = mergeMember(state, record, now, isNewer);
 				if (change) {
-					note(change, !isWhole);
+					recordChange(change, !isWhole);
 					found.push(change);
 				}
 			}
 
 			const sender = records[0];
 			if (sender) {
-				hearMember(state, sender.node, now);
+				recordContact(state, sender.node, now);
 			}
 
 			return found;
@@ -139,45 +139,46 @@
 		suspect(node) {
 			const change = suspectMember(state, node, clock.now());
 			if (change) {
-				note(change);
+				recordChange(change);
 			}
 
 			return change;
 		},
 		expire() {
 			for (const change of expireMembers(state, clock.now(), timing)) {
-				note(change);
+				recordChange(change);
 			}
 		},
-		news(addressee, limit) {
-			const known = addressee ? state.entries.get(addressee) : undefined;
-			const isRumoured = known && mustDefend(known.member);
-			return collectNews(limit, isRumoured ? known.member : undefined);
+		gossipFor(recipient, limit) {
+			const known = recipient ? state.entries.get(recipient) : undefined;
+			const isAccused = known && isSuspectOrGone(known.member);
+			return collectGossip(limit, isAccused ? known.member : undefined);
 		},
-		answerNews(sender, limit) {
+		replyGossip(sender, limit) {
 			const known = sender && state.entries.get(sender.node)?.member;
-			const isBehind = known && compareRecords(known, sender) > 0;
-			return collectNews(limit, isBehind ? known : undefined);
+			const isOutdated = known && compareRecords(known, sender) > 0;
+			return collectGossip(limit, isOutdated ? known : undefined);
 		},
 		whole: () => [self(), ...others().filter((member) => isPresent(member))],
 	};
 }
 
-/** A member under suspicion learns of it at the first contact (Dadgar et al., Lifeguard, 2018). */
-function mustDefend({state}: Member): boolean {
+/** Such a member receives its record at the first contact, so that it can refute it (Dadgar et al., Lifeguard, 2018). */
+function isSuspectOrGone({state}: Member): boolean {
 	return state === 'suspect' || state === 'gone';
 }
 
 /**
- * First starts, `joining` to `active` and new versions can wait behind ends,
- * returns and new incarnations: a wrong trust costs more than a late one.
+ * Suspicions, ends, rejoins and new incarnations are gossiped before first
+ * starts, `joining` to `active` and new versions: requests to a member that is
+ * gone cost more than late use of a new one.
  */
 function isUrgentChange({member, before}: MemberChange): boolean {
 	if (before === undefined) {
 		return false;
 	}
 
-	const isNewLife = before.incarnation !== member.incarnation;
+	const isNewIncarnation = before.incarnation !== member.incarnation;
 	const isFirstActive = before.state === 'joining' && member.state === 'active';
-	return isNewLife || (before.state !== member.state && !isFirstActive);
+	return isNewIncarnation || (before.state !== member.state && !isFirstActive);
 }
--- a/packages/control/src/membership-timing.ts
+++ b/packages/control/src/membership-timing.ts
@@ -1,57 +1,58 @@
-/** The periods of membership, in milliseconds; docs/decisions/membership.md has the sums. */
+/** The intervals and timeouts of membership, in milliseconds; docs/decisions/membership.md derives them. */
 export type MembershipTiming = {
-	/** Between two probes by a node. */
-	probePeriod: number;
-	/** Until a probe without an answer counts as failed. */
+	/** Interval between the probes that a node sends. */
+	probeInterval: number;
+	/** Timeout of a probe. */
 	probeTimeout: number;
-	/** Until a suspect that nobody refuted is gone. */
-	suspicion: number;
-	/** Without a pulse of its own, a node treats itself as absent. */
+	/** Time after which a suspect that has not refuted the suspicion is gone. */
+	suspicionTimeout: number;
+	/** A node whose own timer has not run for this long suspends itself. */
 	lease: number;
-	/** Between two tries to reach a member that is gone, or a seed. */
-	lostPeriod: number;
-	/** Between two exchanges of all members with some member. */
-	wholePeriod: number;
-	/** From the return of a member until all members are asked for; refutations take this long. */
-	returnDelay: number;
-	/** The least time between two such exchanges. */
-	returnPause: number;
+	/** Interval between probes of a member that is gone, or of a seed address. */
+	reconnectInterval: number;
+	/** Interval between requests for all members to a random member. */
+	fullSyncInterval: number;
+	/** Delay between a rejoin and the request for all members; refutations take this long. */
+	rejoinSyncDelay: number;
+	/** Minimum interval between two such requests. */
+	minRejoinSyncInterval: number;
 	/**
-	 * The same for each member, where that is more: an answer grows with the
-	 * members, so that its bytes a second stay below 290 in 50 ms.
+	 * The same per member; the larger of the two applies. The response has about
+	 * 290 bytes per member, so its bandwidth stays below 290 bytes in 50 ms.
 	 */
-	returnPauseEach: number;
-	/** How long the end of a member is remembered. */
-	remembrance: number;
+	minRejoinSyncIntervalPerMember: number;
+	/** How long the record of a gone member is retained. */
+	goneRetention: number;
 };
 
+/** The default intervals and timeouts, in milliseconds. */
 export const defaultTiming: MembershipTiming = {
-	probePeriod: 1000,
+	probeInterval: 1000,
 	probeTimeout: 500,
-	suspicion: 3000,
+	suspicionTimeout: 3000,
 	lease: 3000,
-	lostPeriod: 5000,
-	wholePeriod: 120_000,
-	returnDelay: 3000,
-	returnPause: 10_000,
-	returnPauseEach: 50,
-	remembrance: 3_600_000,
+	reconnectInterval: 5000,
+	fullSyncInterval: 120_000,
+	rejoinSyncDelay: 3000,
+	minRejoinSyncInterval: 10_000,
+	minRejoinSyncIntervalPerMember: 50,
+	goneRetention: 3_600_000,
 };
 
 /**
- * Records that ride on a message besides the sender's own. A record is about
- * 290 bytes, so these bounds and the periods above bound the bytes a second.
+ * Maximum number of records in a message besides the sender's own. A record is
+ * about 290 bytes, so these limits and the intervals above bound the bandwidth.
  */
-export const newsLimits = {
+export const gossipLimits = {
 	probe: 8,
-	/** A message of a round that can't wait; there may be many of them. */
-	spread: 3,
-	/** An acknowledgement brings at least these, or as many as its probe brought. */
+	/** A message of an immediate gossip round; there may be many of them. */
+	round: 3,
+	/** An acknowledgement may carry this many, or as many as its probe if that is more. */
 	acknowledgement: 2,
 } as const;
 
-/** Members told at once of what can't wait for the next probe. */
-export const spreadWidth = 3;
+/** Number of members that an immediate gossip round is sent to. */
+export const gossipFanout = 3;
 
-/** Milliseconds between two such rounds of a node. */
-export const spreadPause = 500;
+/** Minimum interval between two such rounds of a node, in milliseconds. */
+export const minRoundInterval = 500;
--- a/packages/control/src/membership.ts
+++ b/packages/control/src/membership.ts
@@ -1,39 +1,39 @@
 /**
- * Who is there, as one node sees it: a state machine over what it hears.
- * After SWIM (Das, Gupta and Motivala, DSN 2002): suspicion before a member is
- * given up, and a member refutes it by a newer record of itself. Unlike there,
- * a refutation raises the heartbeat and not the incarnation, since an
- * incarnation stands for what a node remembers (the ledger of its keys).
+ * The members as one node sees them: a state machine over the records that it
+ * receives. It follows SWIM (Das, Gupta and Motivala, DSN 2002): a member is
+ * suspected before it is gone, and refutes the suspicion with a newer record of
+ * itself. Unlike in SWIM, a refutation raises the heartbeat and not the
+ * incarnation, because an incarnation stands for the state that a node holds in
+ * memory (its ledger of idempotency keys).
  *
  * Records of one node are ordered by incarnation, then heartbeat, then state.
- * What goes wrong without the order: a peer that was cut off passes on an old
- * record, and a member that has left gets work again. One notices requests
- * going to a target that was told to leave. Only a record that the member
- * itself made later can replace an end.
+ * Without this order, a peer that was partitioned would gossip an old record, and
+ * a member that is leaving would receive requests again. Only a newer record
+ * made by the member itself can replace `gone`.
  */
 import type {Member} from '@egretspoke/protocol';
 
-/** A member with what this node knows of its age, in milliseconds of the clock. */
+/** A member and the age of its record, in milliseconds of the clock. */
 export type MemberEntry = {
 	member: Member;
-	/** When the record last changed here. */
+	/** When the record last changed at this node. */
 	changedAt: number;
-	/** When the member was last known to live: its own message, or a newer record. */
-	heardAt: number;
+	/** When the member last proved to be alive, by a message of its own or a newer record. */
+	lastSeenAt: number;
 };
 
-/** The members by node, the node's own record included. */
+/** The members by node name, including the node's own record. */
 export type MembershipState = {
 	self: string;
 	entries: Map<string, MemberEntry>;
-	/** The suspects and the gone, so that looking after them costs nothing while all is well. */
-	fading: Set<string>;
+	/** Names of suspects and gone members, so that expiry does not scan the healthy ones. */
+	suspectOrGone: Set<string>;
 };
 
-/** A record that changed here; `before` is absent for a new member. */
+/** A record that changed at this node; `before` is absent for a new member. */
 export type MemberChange = {member: Member; before?: Member};
 
-/** How a record that came in is weighed against the one that is known. */
+/** Whether a received record replaces the known one. */
 export type MergeRule = (known: Member, incoming: Member) => boolean;
 
 const ranks: Record<Member['state'], number> = {
@@ -44,25 +44,27 @@
 	gone: 4,
 };
 
-/** The rules by name; `latestHeard` is the naive way, for proofs only. */
+/** The rules by name; `lastReceived` is the naive rule, for tests that show its effect. */
 export const mergeRules = {
 	newerRecord: (known, incoming) => compareRecords(incoming, known) > 0,
-	latestHeard: () => true,
+	lastReceived: () => true,
 } as const satisfies Record<string, MergeRule>;
 
-/** Creates the state of a node that knows only itself. */
+/** Creates a state that holds only the node itself. */
 export function createMembershipState(
 	member: Member,
 	now: number,
 ): MembershipState {
 	return {
 		self: member.node,
-		entries: new Map([[member.node, {member, changedAt: now, heardAt: now}]]),
-		fading: new Set(),
+		entries: new Map([
+			[member.node, {member, changedAt: now, lastSeenAt: now}],
+		]),
+		suspectOrGone: new Set(),
 	};
 }
 
-/** Above 0 when the left record is newer than the right one. */
+/** Returns a number above 0 when the left record is newer than the right one. */
 export function compareRecords(left: Member, right: Member): number {
 	return (
 		left.incarnation - right.incarnation ||
@@ -71,7 +73,7 @@
 	);
 }
 
-/** Takes in a record of another node; the change, if it told something new. */
+/** Merges a record of another node; returns the change, if there is one. */
 export function mergeMember(
 	state: MembershipState,
 	incoming: Member,
@@ -83,9 +85,9 @@
 		state.entries.set(incoming.node, {
 			member: incoming,
 			changedAt: now,
-			heardAt: now,
+			lastSeenAt: now,
 		});
-		noteFading(state, incoming);
+		updateSuspectOrGone(state, incoming);
 		return {member: incoming};
 	}
 
@@ -94,31 +96,32 @@
 		return undefined;
 	}
 
-	const isLife =
+	const isLivenessProof =
 		incoming.incarnation > before.incarnation ||
 		incoming.heartbeat > before.heartbeat;
 	entry.member = incoming;
 	entry.changedAt = now;
-	entry.heardAt = isLife ? now : entry.heardAt;
-	noteFading(state, incoming);
+	entry.lastSeenAt = isLivenessProof ? now : entry.lastSeenAt;
+	updateSuspectOrGone(state, incoming);
 	return {member: incoming, before};
 }
 
-/** Notes that a member itself was heard. */
-export function hearMember(
+/** Records that the member itself has sent a message. */
+export function recordContact(
 	state: MembershipState,
 	node: string,
 	now: number,
 ): void {
 	const entry = state.entries.get(node);
 	if (entry) {
-		entry.heardAt = now;
+		entry.lastSeenAt = now;
 	}
 }
 
 /**
- * A probe of the member failed. One that is leaving already is gone at once:
- * it takes no new work either way, and nothing may bring it back to less.
+ * Handles a failed probe of the member. A member that is leaving is gone at
+ * once: it takes no new work in either state, and suspicion must not hide
+ * that it is leaving.
  */
 export function suspectMember(
 	state: MembershipState,
@@ -126,37 +129,37 @@
 	now: number,
 ): MemberChange | undefined {
 	const entry = state.entries.get(node);
-	const next = entry && nextOnSilence[entry.member.state];
+	const next = entry && nextStateOnFailure[entry.member.state];
 	return entry && next ? changeState(state, entry, next, now) : undefined;
 }
 
-/** Suspects that nobody refuted in time are gone; old ends are forgotten. */
+/** Marks expired suspects as gone and deletes gone members after the retention time. */
 export function expireMembers(
 	state: MembershipState,
 	now: number,
-	limits: {suspicion: number; remembrance: number},
+	limits: {suspicionTimeout: number; goneRetention: number},
 ): MemberChange[] {
 	const changes: MemberChange[] = [];
-	for (const node of state.fading) {
+	for (const node of state.suspectOrGone) {
 		const entry = state.entries.get(node)!;
 		const age = now - entry.changedAt;
-		if (entry.member.state === 'suspect' && age >= limits.suspicion) {
+		if (entry.member.state === 'suspect' && age >= limits.suspicionTimeout) {
 			changes.push(changeState(state, entry, 'gone', now));
-		} else if (entry.member.state === 'gone' && age >= limits.remembrance) {
+		} else if (entry.member.state === 'gone' && age >= limits.goneRetention) {
 			state.entries.delete(node);
-			state.fading.delete(node);
+			state.suspectOrGone.delete(node);
 		}
 	}
 
 	return changes;
 }
 
-/** A member that may be probed and told news. */
+/** Whether the member may be probed and receive gossip. */
 export function isPresent(member: Member): boolean {
 	return member.state !== 'gone';
 }
 
-const nextOnSilence: Partial<Record<Member['state'], Member['state']>> = {
+const nextStateOnFailure: Partial<Record<Member['state'], Member['state']>> = {
 	joining: 'suspect',
 	active: 'suspect',
 	leaving: 'gone',
@@ -171,14 +174,17 @@
 	const before = entry.member;
 	entry.member = {...before, state: next};
 	entry.changedAt = now;
-	noteFading(state, entry.member);
+	updateSuspectOrGone(state, entry.member);
 	return {member: entry.member, before};
 }
 
-function noteFading({fading}: MembershipState, member: Member): void {
+function updateSuspectOrGone(
+	{suspectOrGone}: MembershipState,
+	member: Member,
+): void {
 	if (member.state === 'suspect' || member.state === 'gone') {
-		fading.add(member.node);
+		suspectOrGone.add(member.node);
 	} else {
-		fading.delete(member.node);
+		suspectOrGone.delete(member.node);
 	}
 }
--- a/packages/control/src/operator-service.ts
+++ b/packages/control/src/operator-service.ts
@@ -1,4 +1,4 @@
-/** What the admin listener offers to operators: plan, confirm and status. */
+/** The functions for operators: plan, confirm, status and targets. */
 import {isDeepStrictEqual} from 'node:util';
 import type {
 	ConfirmAnswer,
@@ -11,7 +11,7 @@
 import type {Clock, Finding, Random} from '@egretspoke/shared';
 import {err, ok, type Result} from 'neverthrow';
 import {
-	keepPlan,
+	storePlan,
 	readHead,
 	readPlan,
 	readPlanBody,
@@ -30,22 +30,22 @@
 import {isPresent} from './membership.js';
 import {preparePlan} from './plan.js';
 
-/** Why there is no plan. */
+/** Why no plan was made. */
 export type PlanFailure =
 	| {kind: 'findings'; findings: Finding[]}
-	/** The platform can't be reached; nothing was planned. */
+	/** The platform is unreachable; no plan was made. */
 	| {kind: 'unavailable'; detail: string};
 
-/** The operators' functions; the admin listener mounts them over HTTP. */
+/** The functions for operators; the admin listener serves them over HTTP. */
 export type OperatorService = {
 	plan(request: PlanRequest): Promise<Result<Plan, PlanFailure>>;
 	confirm(id: string): Promise<ConfirmAnswer | 'notFound'>;
-	/** All but the load, which the node adds. */
+	/** The status without the load, which the node adds. */
 	status(): NodeStatus;
 	targets(): TargetRow[];
 };
 
-/** What the operators' functions need. */
+/** Dependencies of the functions for operators. */
 export type OperatorOptions = {
 	platform: Platform;
 	clock: Clock;
@@ -55,7 +55,7 @@
 	headWrite?: HeadWrite;
 };
 
-/** Creates the functions of one node. */
+/** Creates the functions for operators of one node. */
 export function createOperatorService(
 	options: OperatorOptions,
 ): OperatorService {
@@ -64,13 +64,13 @@
 	const secondsSince = (instant: number) =>
 		Math.max(0, Math.round(clock.now() - instant)) / 1000;
 
-	const heardSecondsAgo = (node: string, heardAt: number) =>
-		node === membership.self().node ? 0 : secondsSince(heardAt);
+	const heardSecondsAgo = (node: string, lastSeenAt: number) =>
+		node === membership.self().node ? 0 : secondsSince(lastSeenAt);
 
 	/**
-	 * The confirming node takes the body that it has read before the write, and
-	 * its peers take it from there: a platform that goes away right after the
-	 * acceptance would otherwise hold back what has been accepted.
+	 * Puts the body in force that was read before the write, so that peers can fetch
+	 * it from this node. Otherwise an outage of the platform right after the
+	 * acceptance would delay the accepted version.
 	 */
 	const putInForce = async (
 		version: number,
@@ -104,12 +104,12 @@
 				base: base.value,
 				targets: listKnownTargets(membership),
 			});
-			const kept = await keepPlan(platform, plan, body);
-			if (kept.isOk() || (await isKept(platform, plan))) {
+			const stored = await storePlan(platform, plan, body);
+			if (stored.isOk() || (await isStored(platform, plan))) {
 				return ok(plan);
 			}
 
-			return err({kind: 'unavailable', detail: kept.error.detail});
+			return err({kind: 'unavailable', detail: stored.error.detail});
 		},
 		async confirm(id) {
 			const body = await readPlanBody(platform, id);
@@ -131,17 +131,17 @@
 				uptimeSeconds: secondsSince(startedAt),
 				configuration: {version, checksum, source: configuration.source()},
 				platform: configuration.platformState(),
-				inForce: membership.entries().map(({member, heardAt}) => ({
+				inForce: membership.entries().map(({member, lastSeenAt}) => ({
 					node: member.node,
 					dataCentre: member.dataCentre,
 					version: member.configurationVersion,
 					state: member.state,
-					heardSecondsAgo: heardSecondsAgo(member.node, heardAt),
+					heardSecondsAgo: heardSecondsAgo(member.node, lastSeenAt),
 				})),
 			};
 		},
 		targets: () =>
-			membership.entries().flatMap(({member, heardAt}) =>
+			membership.entries().flatMap(({member, lastSeenAt}) =>
 				member.target
 					? [
 							{
@@ -151,7 +151,7 @@
 								state: member.state,
 								callerAddress: member.callerAddress,
 								configurationVersion: member.configurationVersion,
-								heardSecondsAgo: heardSecondsAgo(member.node, heardAt),
+								heardSecondsAgo: heardSecondsAgo(member.node, lastSeenAt),
 							},
 						]
 					: [],
@@ -159,7 +159,7 @@
 	};
 }
 
-/** The accepted configuration as the platform has it now, which may be newer than the node's. */
+/** Reads the accepted configuration from the platform; it may be newer than the node's. */
 async function readBase(
 	platform: Platform,
 ): Promise<Result<Configuration, PlatformError>> {
@@ -177,13 +177,13 @@
 	return body.andThen((found) =>
 		found
 			? readConfiguration(found).mapErr((fault) =>
-					describeDamage(version, fault),
+					describeInvalidBody(version, fault),
 				)
-			: err(describeDamage(version, 'missing')),
+			: err(describeInvalidBody(version, 'missing')),
 	);
 }
 
-function describeDamage(version: number, fault: string): PlatformError {
+function describeInvalidBody(version: number, fault: string): PlatformError {
 	return {
 		kind: 'unavailable',
 		detail: `the body of version ${version} can't be used: ${fault}`,
@@ -191,13 +191,14 @@
 }
 
 /**
- * A plan whose write lost its answer may have been kept; it has no effect
- * before a confirmation. One that another node made under the same id isn't it.
+ * Whether the plan was stored although the response to its write was lost; it has
+ * no effect before its confirmation. Another node's plan with the same id does not
+ * count.
  */
-async function isKept(platform: Platform, plan: Plan): Promise<boolean> {
+async function isStored(platform: Platform, plan: Plan): Promise<boolean> {
 	const found = await readPlan(platform, plan.id);
-	const kept = found.isOk() ? found.value.value?.plan : undefined;
-	return kept !== undefined && isDeepStrictEqual(kept, plan);
+	const stored = found.isOk() ? found.value.value?.plan : undefined;
+	return stored !== undefined && isDeepStrictEqual(stored, plan);
 }
 
 function listKnownTargets(membership: MembershipService) {
@@ -209,7 +210,7 @@
 		);
 }
 
-/** Sorts by time; the random part tells plans of one instant apart. */
+/** Creates an id that sorts by time; the random part distinguishes plans of the same second. */
 function createPlanId(createdAt: Date, random: Random): string {
 	const stamp = createdAt.toISOString().replaceAll(/[-:]|\.\d+/gu, '');
 	const suffix = random
--- a/packages/control/src/plan.ts
+++ b/packages/control/src/plan.ts
@@ -1,4 +1,4 @@
-/** From an intent document to a plan: what would change, and what that means. */
+/** Prepares a plan from intents: the changes, their effects and the warnings. */
 import type {Plan, PlanChange} from '@egretspoke/protocol';
 import {formatDuration} from '@egretspoke/shared';
 import {defaultIntent} from './classification.js';
@@ -13,22 +13,22 @@
 import type {ServiceIntent} from './intent.js';
 import {listWarnings, type KnownTarget} from './plan-warnings.js';
 
-/** What a plan is made from. */
+/** The input of a plan. */
 export type PlanInput = {
 	id: string;
 	author: string;
 	createdAt: Date;
 	intents: ServiceIntent[];
-	/** The accepted configuration that the plan builds on. */
+	/** The accepted configuration that the plan changes. */
 	base: Configuration;
-	/** The targets announced so far, for the warnings. */
+	/** The announced targets, for the warnings. */
 	targets: KnownTarget[];
 };
 
-/** A plan with the body that its confirmation would put in force. */
+/** A plan and the body that its confirmation puts in force. */
 export type PreparedPlan = {plan: Plan; body: ConfigurationBody};
 
-/** Works out the plan; it has no effect until it is confirmed. */
+/** Prepares a plan; it has no effect until it is confirmed. */
 export function preparePlan(input: PlanInput): PreparedPlan {
 	const {id, author, createdAt, intents, base, targets} = input;
 	const services = applyIntents(base.services, intents);
@@ -43,40 +43,45 @@
 	return {plan, body: writeConfiguration(base.version + 1, services)};
 }
 
-/** Lists every difference between two configurations, service by service. */
+/** Lists all differences between two configurations, by service. */
 export function listChanges(
 	before: ServiceConfiguration[],
 	after: ServiceConfiguration[],
 ): PlanChange[] {
-	const old = new Map(before.map((each) => [each.service, each]));
-	const current = new Map(after.map((each) => [each.service, each]));
-	const names = new Set([...old.keys(), ...current.keys()]);
+	const previousServices = new Map(before.map((each) => [each.service, each]));
+	const nextServices = new Map(after.map((each) => [each.service, each]));
+	const names = new Set([...previousServices.keys(), ...nextServices.keys()]);
 	return [...names].sort().flatMap((service) => {
-		const was = flatten(old.get(service));
-		const is = flatten(current.get(service));
-		const paths = new Set([...was.keys(), ...is.keys()]);
+		const previous = flattenSettings(previousServices.get(service));
+		const next = flattenSettings(nextServices.get(service));
+		const paths = new Set([...previous.keys(), ...next.keys()]);
 		return [...paths]
-			.filter((path) => was.get(path) !== is.get(path))
+			.filter((path) => previous.get(path) !== next.get(path))
 			.map((path) =>
-				describeChange(service, path, was.get(path), is.get(path)),
+				describeChange(service, path, previous.get(path), next.get(path)),
 			);
 	});
 }
 
-/** The settings of a service by their paths. */
-function flatten(part: ServiceConfiguration | undefined): Map<string, string> {
+/** Returns the settings of a service by path. */
+function flattenSettings(
+	configuration: ServiceConfiguration | undefined,
+): Map<string, string> {
 	const settings = new Map<string, string>();
-	if (!part) {
+	if (!configuration) {
 		return settings;
 	}
 
 	settings.set('service', 'configured');
 	settings.set(
 		'deadline',
-		formatDuration(part.deadline ?? defaultIntent.deadline),
+		formatDuration(configuration.deadline ?? defaultIntent.deadline),
 	);
-	settings.set('attempts', String(part.attempts ?? defaultIntent.attempts));
-	for (const rule of part.requests) {
+	settings.set(
+		'attempts',
+		String(configuration.attempts ?? defaultIntent.attempts),
+	);
+	for (const rule of configuration.requests) {
 		const match = describeMatch(rule);
 		settings.set(
 			`requests[${match}].class`,
@@ -88,11 +93,11 @@
 		);
 	}
 
-	for (const call of part.calls) {
+	for (const call of configuration.calls) {
 		settings.set(`calls[${call}]`, 'allowed');
 	}
 
-	for (const {node, intent} of part.targets) {
+	for (const {node, intent} of configuration.targets) {
 		settings.set(`targets[${node}]`, intent);
 	}
 
@@ -116,14 +121,14 @@
 	};
 }
 
-type Describe = (
+type DescribeEffect = (
 	after: string | undefined,
 	name: string,
 	service: string,
 ) => string;
 
-/** The effect of a change in words, by the setting that changes. */
-const effects: Record<SettingKind, Describe> = {
+/** Functions that describe the effect of a change, by the kind of setting. */
+const effects: Record<SettingKind, DescribeEffect> = {
 	service: (after, _name, service) =>
 		after === undefined
 			? `${service} falls back to the built-in defaults`
--- a/packages/experiment/src/policy-variant.ts
+++ b/packages/experiment/src/policy-variant.ts
@@ -9,7 +9,7 @@
 	type Mechanism,
 	type Policy,
 } from '@egretspoke/decisions';
-import {naivePolicy, naiveTries} from '@egretspoke/stand-ins';
+import {naivePolicy, naiveMaxAttempts} from '@egretspoke/stand-ins';
 
 /** A policy and the node settings that belong to it. */
 export type PolicyVariant = {
@@ -48,7 +48,7 @@
 	naive: () => ({
 		name: 'naive',
 		policy: naivePolicy,
-		attempts: naiveTries,
+		attempts: naiveMaxAttempts,
 		callDeadline: () => Number.POSITIVE_INFINITY,
 		attemptDeadline: (_deadline, now, tryTimeout) => now + tryTimeout,
 		cancelsDownstream: false,
--- a/packages/faults/src/caller-exchange.ts
+++ b/packages/faults/src/caller-exchange.ts
@@ -1,42 +1,45 @@
-/** One attempt of a caller at a node, over a connection that ends with either. */
+/** One attempt of a caller at a node, over a connection that closes when either side ends. */
 import type {CallerOutcome, CallerRequest} from '@egretspoke/node';
 import {sleep, type Clock} from '@egretspoke/shared';
 import type {FakeProcess} from './fake-node.js';
 
-/** Milliseconds that callers grant, and how much longer they wait. */
-export const patience = {deadline: 800, grace: 150};
+/** The deadline that callers send, and how much longer they wait, in milliseconds. */
+export const callerTimeouts = {deadline: 800, grace: 150};
 
-const oneWay = 1;
+const oneWayDelayMs = 1;
 
-/** Undefined when no answer came before the caller gave up. */
+/** Sends a request; resolves with undefined when the node is down or the caller's timeout expires. */
 export async function exchange(
 	clock: Clock,
 	process: FakeProcess | undefined,
 	incoming: CallerRequest,
 ): Promise<CallerOutcome | undefined> {
-	await sleep(clock, oneWay);
-	if (!process || process.gate.state() === 'dead') {
+	await sleep(clock, oneWayDelayMs);
+	if (!process || process.execution.state() === 'dead') {
 		return undefined;
 	}
 
-	const {gate, core} = process;
-	const patienceEnd = new AbortController();
+	const {execution, core} = process;
+	const callerAbort = new AbortController();
 	return new Promise((resolve) => {
-		const timer = clock.setTimer(patience.deadline + patience.grace, () => {
-			gate.run(() => {
-				patienceEnd.abort();
-			});
-			resolve(undefined);
-		});
+		const timer = clock.setTimer(
+			callerTimeouts.deadline + callerTimeouts.grace,
+			() => {
+				execution.run(() => {
+					callerAbort.abort();
+				});
+				resolve(undefined);
+			},
+		);
 		const answer = async () => {
-			const outcome = await core.entry.handle(incoming, patienceEnd.signal);
-			await gate.hold(Promise.resolve());
-			await sleep(clock, oneWay);
+			const outcome = await core.entry.handle(incoming, callerAbort.signal);
+			await execution.hold(Promise.resolve());
+			await sleep(clock, oneWayDelayMs);
 			timer.cancel();
 			resolve(outcome);
 		};
 
-		gate.run(() => {
+		execution.run(() => {
 			void answer();
 		});
 	});
--- a/packages/faults/src/fake-callers.ts
+++ b/packages/faults/src/fake-callers.ts
@@ -1,34 +1,34 @@
-/** Callers that send, lose patience, and repeat with the same key and home. */
+/** Callers that send requests, time out, and retry with the same key and home. */
 import type {Home, Outcome} from '@egretspoke/protocol';
 import {digestBody, type Recorder} from '@egretspoke/history';
 import type {CallerOutcome, CallerRequest} from '@egretspoke/node';
 import {sleep, type Clock, type Random} from '@egretspoke/shared';
-import {exchange, patience} from './caller-exchange.js';
-import {fakeService, longestKeyLife, type FakeProcess} from './fake-node.js';
+import {exchange, callerTimeouts} from './caller-exchange.js';
+import {fakeService, maxKeyLifetimeMs, type FakeProcess} from './fake-node.js';
 import {writeAnswerBody, writeMark} from './request-mark.js';
 
 /** The callers of one run. */
 export type FakeCallers = {
-	/** Sends one request with all its repeats; resolves when its caller is done. */
+	/** Sends one request with all its retries; resolves when the caller stops. */
 	send(number: number): Promise<void>;
 	counts(): CallerCounts;
 };
 
-/** What callers saw. */
+/** Counts of attempts and of their outcomes at the callers. */
 export type CallerCounts = {
 	attempts: number;
 	answered: number;
 	notRun: number;
 	unknown: number;
-	/** No answer came: the connection broke, or the caller gave up. */
+	/** No answer: the connection broke, or the caller timed out. */
 	lost: number;
 };
 
 type Request = {key: string; expiry: number; isRepeatable: boolean};
 
-const mostRepeats = 6;
+const maxRepeats = 6;
 
-/** Creates callers that reach the processes that are up at the time. */
+/** Creates callers that send each attempt to a random running process. */
 export function createFakeCallers(options: {
 	clock: Clock;
 	random: Random;
@@ -57,7 +57,7 @@
 			headers: writeMark(mark),
 			body: new TextEncoder().encode(request.key),
 			caller: `caller-${request.key.length % 3}`,
-			timeLeft: patience.deadline,
+			timeLeft: callerTimeouts.deadline,
 			...(!request.isRepeatable && {
 				key: request.key,
 				keyExpiry: request.expiry,
@@ -66,7 +66,7 @@
 		};
 		const result = await exchange(clock, process, incoming);
 		if (result) {
-			note(mark, result.outcome);
+			recordOutcome(mark, result.outcome);
 		} else {
 			counts.lost++;
 		}
@@ -74,7 +74,7 @@
 		return result;
 	};
 
-	const note = (
+	const recordOutcome = (
 		mark: {attempt: string; key: string},
 		outcome: Outcome,
 	): void => {
@@ -90,8 +90,8 @@
 		recorder.record({kind, ...mark, code});
 	};
 
-	/** One node, or several at once as an impatient user does. */
-	const attemptSome = async (request: Request, home: Home | undefined) => {
+	/** Sends the request to one node, or in one of four cases to up to three nodes at once. */
+	const attemptCopies = async (request: Request, home: Home | undefined) => {
 		const copies = random.below(4) === 0 ? 1 + random.below(3) : 1;
 		const results = await Promise.all(
 			Array.from({length: copies}, async () => attempt(request, home)),
@@ -104,23 +104,23 @@
 
 	return {
 		async send(number) {
-			const lifetime = 500 + random.below(longestKeyLife / 10);
+			const lifetime = 500 + random.below(maxKeyLifetimeMs / 10);
 			const request = {
 				key: `request-${number}`,
 				expiry: clock.date().getTime() + lifetime,
 				isRepeatable: random.below(4) === 0,
 			};
 			let home: Home | undefined;
-			for (let repeat = 0; repeat < mostRepeats; repeat++) {
-				// eslint-disable-next-line no-await-in-loop -- a repeat comes after what it repeats.
-				const result = await attemptSome(request, home);
+			for (let repeat = 0; repeat < maxRepeats; repeat++) {
+				// eslint-disable-next-line no-await-in-loop -- retries are sequential.
+				const result = await attemptCopies(request, home);
 				home ??= result?.home;
 				const isDone = result?.outcome.kind === 'answered';
 				if (isDone && random.below(10) > 0) {
 					return;
 				}
 
-				// eslint-disable-next-line no-await-in-loop -- a repeat comes after a pause.
+				// eslint-disable-next-line no-await-in-loop -- delay between retries.
 				await sleep(clock, random.below(600));
 			}
 		},
--- a/packages/faults/src/fake-channel.ts
+++ b/packages/faults/src/fake-channel.ts
@@ -2,48 +2,48 @@
 import {decodeMessage, encodeMessage, type Message} from '@egretspoke/protocol';
 import type {MessageChannel, PeerIdentity} from '@egretspoke/node';
 import type {Clock} from '@egretspoke/shared';
-import type {ProcessGate} from './process-gate.js';
+import type {ProcessExecution} from './process-execution.js';
 
-/** What the two ends share. */
+/** The link that both ends share. */
 export type Link = {
 	clock: Clock;
-	/** Milliseconds one way. */
+	/** Returns a random one-way delay in milliseconds. */
 	drawDelay(): number;
 	isCut(): boolean;
 };
 
-/** An end with what the network does to it. */
+/** A channel end with the operations of the simulated network. */
 export type ChannelEnd = MessageChannel & {
 	connect(other: ChannelEnd): void;
-	/** Takes a message from the network; undefined ends the channel. */
+	/** Delivers a message from the network; undefined closes the channel. */
 	deliver(message: Uint8Array | undefined): void;
-	/** Loses what is under way and ends this end. */
+	/** Drops the messages in transit and closes this end. */
 	break(): void;
 };
 
-/** Milliseconds between two looks at a link that is cut. */
-const cutRetry = 20;
+/** Interval at which a partitioned link is checked again. */
+const cutPollIntervalMs = 20;
 
-/** Creates an end that isn't connected yet. */
+/** Creates an unconnected end. */
 export function createChannelEnd(
 	link: Link,
 	peer: PeerIdentity,
-	gate: ProcessGate,
+	execution: ProcessExecution,
 ): ChannelEnd {
 	const {clock} = link;
 	const inbox: Message[] = [];
-	let underWay: Array<{at: number; message: Uint8Array | undefined}> = [];
+	let inTransit: Array<{at: number; message: Uint8Array | undefined}> = [];
 	let other: ChannelEnd | undefined;
 	let isOpen = true;
 	let isEnded = false;
 	let wake: (() => void) | undefined;
 
-	const signal = () => {
+	const wakeReceiver = () => {
 		wake?.();
 		wake = undefined;
 	};
 
-	const nextSignal = async () =>
+	const waitForWake = async () =>
 		new Promise<void>((resolve) => {
 			wake = resolve;
 		});
@@ -51,43 +51,43 @@
 	const end = () => {
 		isOpen = false;
 		isEnded = true;
-		signal();
+		wakeReceiver();
 	};
 
-	const pump = () => {
-		const first = underWay[0];
+	const deliverDueMessages = () => {
+		const first = inTransit[0];
 		if (!first) {
 			return;
 		}
 
 		if (link.isCut()) {
-			clock.setTimer(cutRetry, pump);
+			clock.setTimer(cutPollIntervalMs, deliverDueMessages);
 			return;
 		}
 
 		if (first.at > clock.now()) {
-			clock.setTimer(first.at - clock.now(), pump);
+			clock.setTimer(first.at - clock.now(), deliverDueMessages);
 			return;
 		}
 
-		underWay.shift();
+		inTransit.shift();
 		other?.deliver(first.message);
-		pump();
+		deliverDueMessages();
 	};
 
 	const enqueue = (message: Uint8Array | undefined) => {
-		const last = underWay.at(-1)?.at ?? 0;
+		const last = inTransit.at(-1)?.at ?? 0;
 		const at = Math.max(last, clock.now() + link.drawDelay());
-		underWay.push({at, message});
-		if (underWay.length === 1) {
-			pump();
+		inTransit.push({at, message});
+		if (inTransit.length === 1) {
+			deliverDueMessages();
 		}
 	};
 
 	return {
 		peer,
-		connect(end_) {
-			other = end_;
+		connect(otherEnd) {
+			other = otherEnd;
 		},
 		send(message) {
 			if (!isOpen) {
@@ -109,7 +109,7 @@
 				}
 
 				// eslint-disable-next-line no-await-in-loop -- waits for the next message.
-				await nextSignal();
+				await waitForWake();
 			}
 		},
 		close() {
@@ -119,18 +119,18 @@
 			}
 		},
 		deliver(message) {
-			gate.run(() => {
+			execution.run(() => {
 				if (message === undefined) {
 					end();
 				} else if (!isEnded) {
 					inbox.push(decodeMessage(message)._unsafeUnwrap());
-					signal();
+					wakeReceiver();
 				}
 			});
 		},
 		break() {
-			underWay = [];
-			gate.run(end);
+			inTransit = [];
+			execution.run(end);
 		},
 	};
 }
--- a/packages/faults/src/handlers.ts
+++ b/packages/faults/src/handlers.ts
@@ -1,6 +1,6 @@
 /**
- * The ways in which nodes may behave, for the proof that the checks can fail:
- * ours, and ours with one mechanism replaced by what is done without it.
+ * Variants of node behaviour: egretspoke's own, and variants with mechanisms
+ * replaced by naive ones, which verify that the checkers detect violations.
  */
 import {
 	attemptAtMostOnce,
@@ -14,17 +14,17 @@
 	acceptCertifiedRefusal,
 	createRefusal,
 	ErrorCode,
-	refuseNotRun,
+	createNotRunOutcome,
 	type Outcome,
 } from '@egretspoke/protocol';
 
-/** What can be replaced. */
+/** The replaceable mechanisms. */
 export type Handlers = {
 	attempt: AttemptHandler;
 	acceptance: AcceptanceRule;
 };
 
-/** The names of the ways. */
+/** Names of the variants. */
 export const handlerNames = [
 	'egretspoke',
 	'naive',
@@ -38,69 +38,70 @@
 
 const acceptance = acceptanceRules.higherAndWhole;
 
-/** The ways by name; only `egretspoke` is meant for use. */
+/** The variants by name; only `egretspoke` is intended for production. */
 export const handlers: Record<HandlerName, Handlers> = {
 	egretspoke: {attempt: attemptAtMostOnce, acceptance},
 	naive: {
 		attempt: attemptNaively,
-		acceptance: acceptanceRules.latestHeard,
+		acceptance: acceptanceRules.lastReceived,
 	},
 	withoutLedger: {attempt: attemptWithoutLedger, acceptance},
 	retryUnknown: {attempt: attemptRetryingUnknown, acceptance},
-	timeoutIsNotRun: {attempt: attemptDenyingUnknown, acceptance},
+	timeoutIsNotRun: {attempt: attemptReportingUnknownAsNotRun, acceptance},
 	latestVersion: {
 		attempt: attemptAtMostOnce,
-		acceptance: acceptanceRules.latestHeard,
+		acceptance: acceptanceRules.lastReceived,
 	},
 };
 
-const naiveTries = 3;
+const naiveMaxAttempts = 3;
 
-/** No ledger, three tries whatever came back, and what has no answer "was not run". */
+/** No ledger, up to three attempts after lost answers, and a missing answer is reported as "not run". */
 async function attemptNaively(
 	options: Parameters<AttemptHandler>[0],
 ): Promise<Outcome> {
-	return attemptDenyingUnknown({
+	return attemptReportingUnknownAsNotRun({
 		...options,
-		ledger: createForgetfulLedger(options),
-		dispatch: async (attempt) => dispatchAgain(options, attempt, naiveTries),
+		ledger: createDisabledLedger(options),
+		dispatch: async (attempt) =>
+			dispatchWithRetries(options, attempt, naiveMaxAttempts),
 	});
 }
 
-/** Repeats are not recognised. */
+/** Does not recognise repeated keys. */
 async function attemptWithoutLedger(
 	options: Parameters<AttemptHandler>[0],
 ): Promise<Outcome> {
 	return attemptAtMostOnce({
 		...options,
-		ledger: createForgetfulLedger(options),
+		ledger: createDisabledLedger(options),
 	});
 }
 
-/** A lost answer is taken for a refusal, and another target is tried. */
+/** Treats a lost answer as a refusal and retries at another target. */
 async function attemptRetryingUnknown(
 	options: Parameters<AttemptHandler>[0],
 ): Promise<Outcome> {
 	return attemptAtMostOnce({
 		...options,
-		dispatch: async (attempt) => dispatchAgain(options, attempt, 2),
+		dispatch: async (attempt) => dispatchWithRetries(options, attempt, 2),
 	});
 }
 
-/** Whoever has no answer in time says that it was not run. */
-async function attemptDenyingUnknown(
+/** Reports a request without a timely answer as not run. */
+async function attemptReportingUnknownAsNotRun(
 	options: Parameters<AttemptHandler>[0],
 ): Promise<Outcome> {
 	const outcome = await attemptAtMostOnce(options);
 	return outcome.kind === 'unknown'
-		? refuseNotRun(
+		? createNotRunOutcome(
 				acceptCertifiedRefusal('peer'),
 				createRefusal(ErrorCode.DeadlinePassed),
 			)
 		: outcome;
 }
 
-function createForgetfulLedger({clock}: Parameters<AttemptHandler>[0]) {
+function createDisabledLedger({clock}: Parameters<AttemptHandler>[0]) {
 	return createLedger({
 		clock,
 		capacity: 1,
@@ -109,15 +110,15 @@
 	});
 }
 
-async function dispatchAgain(
+async function dispatchWithRetries(
 	options: Parameters<AttemptHandler>[0],
 	attempt: Attempt,
-	tries: number,
+	attemptsLeft: number,
 ): Promise<Outcome> {
 	const {clock, deadline, signal, dispatch} = options;
 	const outcome = await dispatch(attempt);
 	const ticket = createAttemptTicket({clock, deadline, signal});
-	return outcome.kind === 'unknown' && tries > 1 && !ticket.obstacle()
-		? dispatchAgain(options, {...attempt, ticket}, tries - 1)
+	return outcome.kind === 'unknown' && attemptsLeft > 1 && !ticket.obstacle()
+		? dispatchWithRetries(options, {...attempt, ticket}, attemptsLeft - 1)
 		: outcome;
 }
--- a/packages/mesh/src/decisions/peer-subset.ts
+++ b/packages/mesh/src/decisions/peer-subset.ts
@@ -2,13 +2,10 @@
  * Selects the nodes of a service to which a node keeps links.
  *
  * Load pattern: a fleet of hundreds of nodes in which each links to each. A
- * restart of one node then costs a handshake with all others, a restart of all
- * nodes the square of that, and every load report is sent to every node. So
- * each node uses a bounded subset: first nodes of its own data centre, the rest
- * in others, so that some remain when a data centre is lost. The order is that
- * of rendezvous hashing (Thaler and Ravishankar, 1998): every node has its own,
- * all members come first equally often, and a member that joins or leaves
- * changes a subset by at most itself and the one that replaces it.
+ * restart of one node costs a handshake with all others, a restart of all nodes
+ * the square of that, and every load report is sent to every node. So each node
+ * uses a bounded subset: first nodes of its own data centre, the rest in
+ * others, so that some remain when a data centre is lost.
  */
 import type {NameRank} from './name-rank.js';
 
@@ -21,7 +18,7 @@
 	isUnreachable: boolean;
 };
 
-/** How many members that can take work a subset should have. */
+/** The desired number of members of a subset that can take work. */
 export type SubsetSize = {
 	/** In the same data centre, if it has that many. */
 	near: number;
@@ -33,10 +30,18 @@
 export const activeSubsetSize: SubsetSize = {near: 5, total: 8};
 /** The subset for a service without requests here: enough to receive its state and to start immediately. */
 export const idleSubsetSize: SubsetSize = {near: 3, total: 5};
-/** Candidates per wanted member; beyond them, the members of a service that is down are not tried. */
+/**
+ * Candidates tried per wanted member, so that a node doesn't link to all
+ * members of a service that is down.
+ */
 const candidatesPerMember = 3;
 
-/** Sorts members by reachability, then by the ranks of this node. */
+/**
+ * Sorts members by reachability, then by the ranks of this node. These are
+ * those of rendezvous hashing (Thaler and Ravishankar, 1998): every node has
+ * its own order, all members come first equally often, and a member that joins
+ * or leaves changes a subset by at most itself and the one that replaces it.
+ */
 export function rankMembers<T extends SubsetMember>(
 	rankOf: NameRank,
 	members: readonly T[],
--- a/packages/mesh/src/suspect-register.ts
+++ b/packages/mesh/src/suspect-register.ts
@@ -6,9 +6,9 @@
  * have them. A few nodes follow the table and notify the others.
  */
 import {
-	createNotedSuspects,
+	createLocalSuspects,
 	createRowWriter,
-	readNoted,
+	parseLocalSuspects,
 	type Suspect,
 } from '@egretspoke/quarantine';
 import {sleep, type Clock, type Random} from '@egretspoke/shared';
@@ -40,7 +40,10 @@
 };
 
 const table = 'suspects';
-/** Milliseconds after its start within which a node receives from its peers whether it should follow. */
+/**
+ * Milliseconds to wait after the start for the states of peers, which decide
+ * whether this node follows the table.
+ */
 const startDelay = 1000;
 
 /** Creates a register that has not started. */
@@ -48,12 +51,12 @@
 	options: SuspectRegisterOptions,
 ): SuspectRegister {
 	const {store, node, clock, random, reporter} = options;
-	const recorded = createNotedSuspects(clock);
+	const recorded = createLocalSuspects(clock);
 	let version = 0;
 
 	const writeOnce = async (): Promise<boolean> => {
 		const result = await store.write(
-			{table, key: node, value: recorded.toText()},
+			{table, key: node, value: recorded.serialize()},
 			version,
 		);
 		if (result.isOk()) {
@@ -64,14 +67,14 @@
 		if (result.error.kind === 'conflict') {
 			const {current} = result.error;
 			version = current?.version ?? 0;
-			recorded.keepEarlier(current ? decode(current) : []);
+			recorded.restore(current ? decode(current) : []);
 		}
 
 		return false;
 	};
 
 	const decode = ({key, value}: StoredRow): Suspect[] => {
-		const suspects = readNoted(value, clock);
+		const suspects = parseLocalSuspects(value, clock);
 		if (!suspects) {
 			reporter.notice('meshRowMalformed', {key});
 		}
@@ -90,7 +93,7 @@
 
 	return {
 		record(suspects) {
-			recorded.note(suspects);
+			recorded.record(suspects);
 			writer.request();
 		},
 		async run(signal) {
--- a/packages/mesh/src/target-dispatcher.ts
+++ b/packages/mesh/src/target-dispatcher.ts
@@ -1,6 +1,5 @@
 /**
- * Dispatches requests to the local target. Every request to that target passes
- * through its own node.
+ * Dispatches requests to the local target; all of them pass through its node.
  *
  * The target's guarantees are enforced here from local state alone: its
  * concurrency, the order of requests, that it receives no new requests after
@@ -61,7 +60,7 @@
 	/** Limit on repeated offers to a service, over all nodes. */
 	retryBudget: OfferBudgetOptions;
 	/** Registry of requests during which targets crashed. */
-	suspects: Pick<Suspects, 'lookUp' | 'noteCrash' | 'recordAnswer'>;
+	suspects: Pick<Suspects, 'lookUp' | 'recordCrash' | 'recordAnswer'>;
 	/** Called with false when the target is unreachable or was replaced, with true once it answers again. */
 	onReachable: (isReachable: boolean) => void;
 };
@@ -131,12 +130,12 @@
 			clock,
 			isLeaving: () => target?.isLeaving ?? true,
 			onCrash(crashedRuns, lost) {
-				for (const pending of isolation.takeOut(() => true)) {
+				for (const pending of isolation.removeWhere(() => true)) {
 					refuse(pending, 'targetUnreachable');
 				}
 
-				const {noteCrash} = suspects;
-				reportCrash({...options, recordCrash: noteCrash}, crashedRuns, lost);
+				const {recordCrash} = suspects;
+				reportCrash({...options, recordCrash}, crashedRuns, lost);
 			},
 			probe(onResult) {
 				if (target) {
@@ -300,7 +299,7 @@
 			pending.until - now >= minTimeToRepeat &&
 			offers.take(now);
 		if (isAllowed) {
-			metrics.sentAgain(pending.request.service);
+			metrics.retried(pending.request.service);
 		}
 
 		return isAllowed;
@@ -372,7 +371,7 @@
 			offeredAt + request.maxWait < now;
 		for (const pending of [
 			...admission.expire(now),
-			...isolation.takeOut(isOverdue),
+			...isolation.removeWhere(isOverdue),
 		]) {
 			refuse(pending, 'waitedTooLong');
 		}
@@ -398,7 +397,7 @@
 
 	const removeWaiting = (): PendingRequest[] => [
 		...admission.clear(),
-		...isolation.takeOut(() => true),
+		...isolation.removeWhere(() => true),
 	];
 
 	return {
--- a/packages/node/__tests__/observing-reporter.spec.ts
+++ b/packages/node/__tests__/observing-reporter.spec.ts
@@ -1,10 +1,14 @@
 import {
-	createDecisionMemory,
+	createDecisionHistory,
 	createEventLog,
 	createMetrics,
 	type NodeReadings,
 } from '@egretspoke/observability';
-import {admitUnknown, createRefusal, ErrorCode} from '@egretspoke/protocol';
+import {
+	createUnknownOutcome,
+	createRefusal,
+	ErrorCode,
+} from '@egretspoke/protocol';
 import {createVirtualClock} from '@egretspoke/shared';
 import {expect} from 'chai';
 import {createObservingReporter} from '../src/index.js';
@@ -32,7 +36,7 @@
 		clock,
 		sink: {isReady: () => true, write: (batch) => written.push(batch)},
 	});
-	const memory = createDecisionMemory();
+	const memory = createDecisionHistory();
 	const metrics = createMetrics(() => readings);
 	const reporter = createObservingReporter({log, metrics, memory, clock});
 	return {log, memory, metrics, reporter, written};
@@ -75,7 +79,7 @@
 			request: 'r1',
 			service: 'orders',
 			requestClass: 'normal',
-			outcome: admitUnknown(createRefusal(ErrorCode.AnswerLost)),
+			outcome: createUnknownOutcome(createRefusal(ErrorCode.AnswerLost)),
 			duration: 5,
 			role: 'entry',
 		});
--- a/packages/node/src/attempt-idempotent.ts
+++ b/packages/node/src/attempt-idempotent.ts
@@ -3,7 +3,11 @@
  * refusal and also after a lost answer.
  */
 import {createAttemptTicket} from '@egretspoke/ledger';
-import {admitUnknown, ErrorCode, type Outcome} from '@egretspoke/protocol';
+import {
+	createUnknownOutcome,
+	ErrorCode,
+	type Outcome,
+} from '@egretspoke/protocol';
 import {createAttempts, type AttemptsContext} from './attempts.js';
 import type {EntryCall} from './request-chain.js';
 
@@ -43,7 +47,7 @@
 		const refusal = await attempts.retry(outcome.refusal, signal);
 		if (refusal) {
 			attempts.finish();
-			return mayHaveRun ? admitUnknown(refusal) : {...outcome, refusal};
+			return mayHaveRun ? createUnknownOutcome(refusal) : {...outcome, refusal};
 		}
 	}
 }
--- a/packages/node/src/attempt-sender.ts
+++ b/packages/node/src/attempt-sender.ts
@@ -27,7 +27,7 @@
 ) => Promise<ExchangeResult>;
 
 /** The ticket that permits sending an attempt. */
-export type SendTicket = Pick<HandOverTicket, 'handOver' | 'surrender'>;
+export type SendTicket = Pick<HandOverTicket, 'handOver' | 'revoke'>;
 
 /** The outcome of an attempt and where it was sent. */
 export type SentAttempt = {
--- a/packages/observability/src/decision-memory.ts
+++ b/packages/observability/src/decision-history.ts
@@ -1,16 +1,17 @@
 /**
- * The recent decisions of a node by request id, for `egretspoke explain`.
+ * Stores the recent decisions of a node by request id, for `egretspoke explain`.
  *
- * Two rings of fixed size: the ordinary decisions of a busy node fill theirs
- * within seconds, while refusals and retries, which people ask about, stay
- * for longer in the other. Nothing here grows with load.
+ * There are two ring buffers of fixed size, so memory does not grow with load.
+ * Ordinary decisions of a busy node fill their buffer within seconds; refusals
+ * and retries, which operators look up, have a buffer of their own and stay
+ * longer.
  */
 import type {Explanation} from '@egretspoke/protocol';
 import {events, type DecisionEventName} from './event-catalogue.js';
 import type {EventDefinition} from './event-definition.js';
 
-/** One decision as it is remembered. */
-export type RememberedDecision = {
+/** One decision in the history. */
+export type RecordedDecision = {
 	request: string;
 	name: DecisionEventName;
 	/** Milliseconds since 1970. */
@@ -19,36 +20,36 @@
 	details?: Readonly<Record<string, string | number>>;
 };
 
-/** How many decisions are remembered. */
-export type DecisionMemoryOptions = {
-	/** Ordinary decisions. */
+/** How many decisions of each kind are stored. */
+export type DecisionHistoryOptions = {
+	/** Capacity for ordinary decisions. */
 	ordinary?: number;
-	/** Refusals, retries and answers from the ledger. */
+	/** Capacity for refusals, retries and answers from the ledger. */
 	notable?: number;
 };
 
-/** The memory. */
-export type DecisionMemory = {
-	/** Remembers a decision; forgets the oldest of its kind when full. */
-	remember(decision: RememberedDecision): void;
-	/** What is still remembered of a request, the oldest first. */
+/** A bounded history of decisions. */
+export type DecisionHistory = {
+	/** Stores a decision; overwrites the oldest one of its kind when full. */
+	record(decision: RecordedDecision): void;
+	/** Returns the stored decisions about a request, oldest first. */
 	explain(request: string): Explanation['decisions'];
 };
 
 const defaultOrdinary = 4096;
 const defaultNotable = 4096;
-/** The longest reason that is kept, so that the memory is bounded in bytes. */
-const longestReason = 300;
+/** Longer reasons are truncated to this many characters, which bounds the history in bytes. */
+const maxReasonLength = 300;
 
-/** Creates an empty memory. */
-export function createDecisionMemory(
-	options: DecisionMemoryOptions = {},
-): DecisionMemory {
+/** Creates an empty history. */
+export function createDecisionHistory(
+	options: DecisionHistoryOptions = {},
+): DecisionHistory {
 	const ordinary = createRing(options.ordinary ?? defaultOrdinary);
 	const notable = createRing(options.notable ?? defaultNotable);
 	let order = 0;
 	return {
-		remember(decision) {
+		record(decision) {
 			const ring = isNotable(decision.name) ? notable : ordinary;
 			const {request, name, at, reason, details} = decision;
 			ring.add({
@@ -56,15 +57,15 @@
 				name,
 				at,
 				reason:
-					reason.length > longestReason
-						? reason.slice(0, longestReason)
+					reason.length > maxReasonLength
+						? reason.slice(0, maxReasonLength)
 						: reason,
 				...(details && {details}),
 				order: order++,
 			});
 		},
 		explain: (request) =>
-			[...ordinary.recall(request), ...notable.recall(request)]
+			[...ordinary.findByRequest(request), ...notable.findByRequest(request)]
 				.sort((left, right) => left.order - right.order)
 				.map(({name, at, reason, details}) => ({
 					at: new Date(at).toISOString(),
@@ -81,7 +82,7 @@
 	return definition.isNotable ?? false;
 }
 
-type RingEntry = RememberedDecision & {order: number};
+type RingEntry = RecordedDecision & {order: number};
 
 function createRing(capacity: number) {
 	const entries: RingEntry[] = [];
@@ -91,7 +92,7 @@
 			entries[next] = decision;
 			next = (next + 1) % capacity;
 		},
-		recall: (request: string) =>
+		findByRequest: (request: string) =>
 			[...entries.slice(next), ...entries.slice(0, next)].filter(
 				(entry) => entry.request === request,
 			),
--- a/packages/observability/src/event-log.ts
+++ b/packages/observability/src/event-log.ts
@@ -1,11 +1,10 @@
 /**
- * The log: numbered events through loglevel, as text or JSON lines.
+ * The event log: writes numbered events through loglevel, as text or JSON lines.
  *
- * A line for each routing decision must not cost the request it is about. On
- * the request's path an event costs a comparison of levels, a hash of the
- * request id when only a share is logged, and a push onto a bounded buffer.
- * Formatting and writing happen later, on the clock's timer, a batch at a
- * time.
+ * Logging each routing decision must not delay the request. On the request
+ * path an event costs a level check, a hash of the request id when requests
+ * are sampled, and a push onto a bounded buffer. Lines are formatted and
+ * written later, in batches, from a timer of the clock.
  */
 import type {Clock} from '@egretspoke/shared';
 import loglevel from 'loglevel';
@@ -20,50 +19,50 @@
 import type {LogSink} from './log-sink.js';
 import {createRequestSample} from './request-sample.js';
 
-/** What a log is built from; the first four stand in the settings. */
+/** The options of a log; the first four come from the settings. */
 export type EventLogOptions = {
 	node: string;
 	level: loglevel.LogLevelNames | 'silent';
 	format: LogFormat;
-	/** The share of requests whose decisions are logged. */
+	/** The share of requests, from 0 to 1, whose decisions are logged. */
 	sample: number;
 	clock: Clock;
 	sink: LogSink;
-	/** The most events that wait to be written. */
+	/** The maximum number of buffered events. */
 	capacity?: number;
-	/** Milliseconds from an event to its line. */
+	/** Delay of a write after an event, in milliseconds. */
 	delay?: number;
-	/** The most lines formatted in one go. */
+	/** The maximum number of lines written at once. */
 	batch?: number;
 };
 
-/** A node's log. */
+/** The event log of a node. */
 export type EventLog = {
 	/** Records an event; never blocks and never throws. */
 	record(name: EventName, fields?: EventFields): void;
-	/** Whether `record` would keep it; spares building details for nothing. */
-	isWanted(name: EventName, request?: string): boolean;
-	/** Writes what waits, as far as the sink takes it. */
+	/** Whether `record` would log the event; lets callers skip building details that are not logged. */
+	isEnabled(name: EventName, request?: string): boolean;
+	/** Writes the buffered events while the sink is ready. */
 	flush(): void;
-	/** Lines dropped so far because the buffer was full. */
+	/** The number of lines dropped so far because the buffer was full. */
 	dropped(): number;
 };
 
 const defaultCapacity = 8192;
 const defaultDelay = 50;
 const defaultBatch = 256;
-/** The part of the buffer that decisions leave free for notices. */
+/** The share of the buffer that is reserved for notices. */
 const noticeReserve = 0.1;
 
-let loggersMade = 0;
+let loggerCount = 0;
 
-/** Creates a log of its own; several can live in one process. */
+/** Creates a log with a logger of its own, so one process can have several. */
 export function createEventLog(options: EventLogOptions): EventLog {
 	const {clock, sink, node} = options;
 	const capacity = options.capacity ?? defaultCapacity;
 	const decisionCapacity = Math.floor(capacity * (1 - noticeReserve));
 	const batch = options.batch ?? defaultBatch;
-	const wanted = listWanted(options.level);
+	const enabledEvents = listEnabledEvents(options.level);
 	const isSampled = createRequestSample(options.sample);
 	const format = lineFormatters[options.format];
 	const lines: string[] = [];
@@ -71,10 +70,10 @@
 	let waiting: RecordedEvent[] = [];
 	let isScheduled = false;
 	let dropped = 0;
-	let reported = 0;
+	let reportedDrops = 0;
 
-	const isWanted = (name: EventName, request?: string): boolean =>
-		wanted.has(name) &&
+	const isEnabled = (name: EventName, request?: string): boolean =>
+		enabledEvents.has(name) &&
 		(request === undefined ||
 			events[name].kind === 'notice' ||
 			isSampled(request));
@@ -97,18 +96,18 @@
 			return;
 		}
 
-		const taken = waiting.slice(0, batch);
+		const eventsToWrite = waiting.slice(0, batch);
 		waiting = waiting.slice(batch);
-		if (dropped > reported) {
-			taken.push({
+		if (dropped > reportedDrops) {
+			eventsToWrite.push({
 				name: 'linesDropped',
 				at: clock.date().getTime(),
-				details: {count: dropped - reported},
+				details: {count: dropped - reportedDrops},
 			});
-			reported = dropped;
+			reportedDrops = dropped;
 		}
 
-		for (const event of taken) {
+		for (const event of eventsToWrite) {
 			logger[events[event.name].level](format(event, node));
 		}
 
@@ -120,7 +119,7 @@
 
 	return {
 		record(name, fields) {
-			if (!isWanted(name, fields?.request)) {
+			if (!isEnabled(name, fields?.request)) {
 				return;
 			}
 
@@ -134,7 +133,7 @@
 
 			schedule();
 		},
-		isWanted,
+		isEnabled,
 		flush() {
 			while (waiting.length > 0 && sink.isReady()) {
 				writeBatch();
@@ -144,23 +143,25 @@
 	};
 }
 
-/** The events that a level lets through, worked out once. */
-function listWanted(level: EventLogOptions['level']): Set<EventName> {
-	const least =
+/** Returns the names of the events that are logged at a level. */
+function listEnabledEvents(level: EventLogOptions['level']): Set<EventName> {
+	const minLevel =
 		level === 'silent' ? logLevels.length : logLevels.indexOf(level);
 	return new Set(
 		(Object.entries(events) as Array<[EventName, EventDefinition]>)
-			.filter(([, definition]) => logLevels.indexOf(definition.level) >= least)
+			.filter(
+				([, definition]) => logLevels.indexOf(definition.level) >= minLevel,
+			)
 			.map(([name]) => name),
 	);
 }
 
-/** A loglevel logger whose methods append to the batch. */
+/** Creates a loglevel logger whose methods append to `lines`. */
 function createLogger(
 	level: EventLogOptions['level'],
 	lines: string[],
 ): loglevel.Logger {
-	const logger = loglevel.getLogger(`egretspoke-${loggersMade++}`);
+	const logger = loglevel.getLogger(`egretspoke-${loggerCount++}`);
 	logger.methodFactory = () => (line: string) => {
 		lines.push(`${line}\n`);
 	};
--- a/packages/observability/src/log-cost.ts
+++ b/packages/observability/src/log-cost.ts
@@ -1,28 +1,28 @@
 /**
- * Measures what a decision's line, its memory and its metrics cost: on the
- * path of the request, and off it, where the line is formatted. Run by
- * `npm run --silent log-cost -- --json`.
+ * Measures the cost of logging a decision, storing it in the history and
+ * updating the metrics: on the request path, and off it, where lines are
+ * formatted. Run with `npm run --silent log-cost -- --json`.
  */
 import process from 'node:process';
 import {createSystemClock} from '@egretspoke/shared';
-import {createDecisionMemory} from './decision-memory.js';
+import {createDecisionHistory} from './decision-history.js';
 import {createEventLog, type EventLogOptions} from './event-log.js';
 import {createMetrics} from './metrics.js';
 
 const rounds = 2000;
-/** Below the capacity of the buffer, so that nothing is dropped. */
+/** Below the capacity of the buffer, so that no event is dropped. */
 const perRound = 1000;
 const clock = createSystemClock();
 
 type Cost = {onPath: number; offPath?: number};
 
-/** Nanoseconds for each of these, the compiler's warm-up included. */
+/** Nanoseconds per call, JIT warm-up included. */
 const costs: Record<string, Cost> = {
 	textAll: measureLog({format: 'text', sample: 1}),
 	jsonAll: measureLog({format: 'json', sample: 1}),
 	jsonOnePercent: measureLog({format: 'json', sample: 0.01}),
 	belowLevel: measureLog({format: 'json', sample: 1, level: 'warn'}),
-	memory: measureMemory(),
+	memory: measureHistory(),
 	requestEnded: measureMetrics(),
 };
 
@@ -67,13 +67,13 @@
 	return {onPath: perCall(onPath), offPath: perCall(offPath)};
 }
 
-function measureMemory(): Cost {
-	const memory = createDecisionMemory();
+function measureHistory(): Cost {
+	const memory = createDecisionHistory();
 	let onPath = 0;
 	measure((round) => {
 		onPath += time(() => {
 			for (let index = 0; index < perRound; index++) {
-				memory.remember({
+				memory.record({
 					request: `request-${round}-${index}`,
 					name: 'routed',
 					at: round,
@@ -88,7 +88,7 @@
 
 function measureMetrics(): Cost {
 	const metrics = createMetrics(() => {
-		throw new Error('nothing is collected here');
+		throw new Error('the benchmark must not collect metrics');
 	});
 	let onPath = 0;
 	measure(() => {
@@ -107,9 +107,9 @@
 	return {onPath: perCall(onPath)};
 }
 
-function measure(play: (round: number) => void): void {
+function measure(run: (round: number) => void): void {
 	for (let round = 0; round < rounds; round++) {
-		play(round);
+		run(round);
 	}
 }
 
