--- a/packages/control/__tests__/configuration-watch.spec.ts
+++ b/packages/control/__tests__/configuration-watch.spec.ts
@@ -106,7 +106,7 @@
 	describe('with any schedule of announcements, damage and outages', () => {
 		const step = fastCheck.record({
 			way: fastCheck.constantFrom(
-				'hear',
+				'announce',
 				'offer',
 				'read',
 				'damaged',
@@ -127,7 +127,7 @@
 				inForce.push({version, isWhole: text === bodyOf(version).text});
 			});
 			const ways: Record<string, (version: number) => Promise<unknown>> = {
-				hear: async (version) =>
+				announce: async (version) =>
 					watch.receiveVersion(version, async () => bodyOf(version)),
 				offer: async (version) => watch.offer(bodyOf(version), 'peer'),
 				async read(version) {
--- a/packages/control/__tests__/lease.spec.ts
+++ b/packages/control/__tests__/lease.spec.ts
@@ -11,26 +11,26 @@
 		const reportedPauses: number[] = [];
 		const stop = new AbortController();
 		void lease.run(stop.signal, (length) => reportedPauses.push(length));
-		return {real, pause, lease, told: reportedPauses};
+		return {real, pause, lease, reportedPauses};
 	};
 
 	it('does not expire while the process runs', async () => {
-		const {real, lease, told} = create();
+		const {real, lease, reportedPauses} = create();
 		await real.runTo(60_000);
 		expect(lease.hasExpired()).to.equal(false);
-		expect(told).to.deep.equal([]);
+		expect(reportedPauses).to.deep.equal([]);
 	});
 
 	it('has expired at the first check after a pause, and reports its duration', async () => {
 		// A VM is frozen for ten seconds, and its peers have marked it gone. A request
 		// that arrives before its first timer must find it suspended, and the pause
 		// must appear in the log.
-		const {real, pause, lease, told} = create();
+		const {real, pause, lease, reportedPauses} = create();
 		await real.runTo(60_000);
 		pause.length = 10_000;
 		expect(lease.hasExpired()).to.equal(true);
 		await real.runTo(60_500);
 		expect(lease.hasExpired()).to.equal(false);
-		expect(told).to.deep.equal([10_500]);
+		expect(reportedPauses).to.deep.equal([10_500]);
 	});
 });
