--- a/packages/control/src/catch-up.ts
+++ b/packages/control/src/catch-up.ts
@@ -1,15 +1,10 @@
 /**
  * Resynchronizes membership when many gone members rejoin, as after a partition
- * between data centres heals.
- *
- * Otherwise every rejoining member refutes its own end, and the refutations
- * spread a few per message: at 96 nodes, views had not converged after 20 s, and
- * one data centre refused requests while another had free targets. One request
- * for all members after the refutations costs one large message instead.
- *
- * A few rejoins do not trigger it. A single member that was slow for a moment
- * would make every node request all members: at 570 nodes that took 100 KB a
- * second of the busiest one.
+ * between data centres heals. Otherwise every rejoining member refutes its own
+ * end, and the refutations spread a few per message: at 96 nodes, views had not
+ * converged after 20 s, and one data centre refused requests while another had
+ * free targets. One request for all members after the refutations costs one large
+ * message instead.
  */
 import type {Member} from '@egretspoke/protocol';
 import {sample, type Clock, type Random} from '@egretspoke/shared';
@@ -23,7 +18,11 @@
 	runDue(): Promise<void>;
 };
 
-/** More rejoins than fit into one message trigger a full sync. */
+/**
+ * More rejoins than fit into one message trigger a full sync. Fewer do not, because
+ * a single member that was slow for a moment would make every node request all
+ * members: at 570 nodes that took 100 KB a second of the busiest one.
+ */
 const maxRejoinsWithoutSync = gossipLimits.probe;
 
 /** Creates the catch-up of one node. */
--- a/packages/control/src/configuration-store.ts
+++ b/packages/control/src/configuration-store.ts
@@ -6,11 +6,6 @@
  * | `configuration/head` | version and checksum of the accepted configuration, its plan and its author |
  * | `configuration/version/<number>` | a version's body |
  * | `plan/<id>` | a plan, its body, and its version once accepted |
- *
- * The head row is small, because every node reads it every two seconds. A body
- * above the limit is stored in the object store under its checksum, and the row
- * names the object. Plans are stored here because nodes have no disk and any node
- * may receive the confirmation.
  */
 import {planSchema, type Plan} from '@egretspoke/protocol';
 import type {Platform, PlatformError, Row} from '@egretspoke/storage';
@@ -18,10 +13,13 @@
 import {z} from 'zod';
 import type {ConfigurationBody} from './configuration.js';
 
-/** The key of the head row. */
+/** The key of the head row, which is small because every node reads it every two seconds. */
 export const headKey = 'configuration/head';
 
-/** Maximum length of a body in a row, in characters; longer ones go to the object store. */
+/**
+ * Maximum length of a body in a row, in characters. A longer one is stored in the
+ * object store under its checksum, and the row names the object.
+ */
 const inlineLimit = 8192;
 
 const storedBodySchema = z.object({
@@ -50,7 +48,10 @@
 export type Head = z.infer<typeof headSchema>;
 /** A body as stored in a row, with its text or the name of its object. */
 export type StoredBody = z.infer<typeof storedBodySchema>;
-/** The content of a plan's row. */
+/**
+ * The content of a plan's row. Plans are stored in the table because nodes have no
+ * disk and any node may receive the confirmation.
+ */
 export type PlanRecord = z.infer<typeof planRecordSchema>;
 
 /** A record with its row version, for use in a condition; the version is 0 when the row is absent. */
--- a/packages/control/src/confirm.ts
+++ b/packages/control/src/confirm.ts
@@ -1,13 +1,9 @@
 /**
  * Confirms a plan: one transaction writes the head row on condition that it is
  * still the plan's base, together with the version's body and the plan's record.
- *
  * Without the condition, two operators could confirm plans made from the same
  * version, and the second would silently undo the first, such as a payment rule
- * that was reported as in force. Without the plan's record, an operator whose
- * response was lost would have to confirm or plan again without the outcome. The
- * record shows the outcome to every reader, and the same transaction may be
- * retried, because its conditions prevent a second effect.
+ * that was reported as in force.
  */
 import type {ConfirmAnswer} from '@egretspoke/protocol';
 import type {Platform, PlatformError, TableWrite} from '@egretspoke/storage';
@@ -97,7 +93,12 @@
 	return write(id, {record, plan: plan.value, head: head.value}, options);
 }
 
-/** Sends the transaction that accepts the plan. */
+/**
+ * Sends the transaction that accepts the plan. It includes the plan's record, which
+ * shows the outcome to every reader: otherwise an operator whose response was lost
+ * would have to confirm or plan again without the outcome. The transaction may be
+ * retried, because its conditions prevent a second effect.
+ */
 async function write(
 	id: string,
 	found: {record: PlanRecord; plan: Stored<PlanRecord>; head: Stored<Head>},
--- a/packages/control/src/membership.ts
+++ b/packages/control/src/membership.ts
@@ -5,11 +5,6 @@
  * itself. Unlike in SWIM, a refutation raises the heartbeat and not the
  * incarnation, because an incarnation stands for the state that a node holds in
  * memory (its ledger of idempotency keys).
- *
- * Records of one node are ordered by incarnation, then heartbeat, then state.
- * Without this order, a peer that was partitioned would gossip an old record, and
- * a member that is leaving would receive requests again. Only a newer record
- * made by the member itself can replace `gone`.
  */
 import type {Member} from '@egretspoke/protocol';
 
@@ -64,7 +59,13 @@
 	};
 }
 
-/** Returns a number above 0 when the left record is newer than the right one. */
+/**
+ * Returns a number above 0 when the left record is newer than the right one.
+ * Records of one node are ordered by incarnation, then heartbeat, then state.
+ * Without this order, a peer that was partitioned would gossip an old record, and
+ * a member that is leaving would receive requests again. Only a newer record made
+ * by the member itself can replace `gone`.
+ */
 export function compareRecords(left: Member, right: Member): number {
 	return (
 		left.incarnation - right.incarnation ||
--- a/packages/quarantine/src/suspect-table.ts
+++ b/packages/quarantine/src/suspect-table.ts
@@ -3,10 +3,6 @@
  * a request with a new id, at any node, and the service loses one target after
  * another. Dozens of innocent requests run on each of them; some are retried
  * together with the faulty one and are running again at the next crash.
- * A crash counts only against runs that began after the previous crash was
- * recorded, so that targets that crash simultaneously count once. An answer
- * clears a request, because the faulty one is never answered. From the second
- * crash on, a request runs isolated and a crash counts against it alone.
  */
 import {
 	hashQuickly,
@@ -37,9 +33,17 @@
 		partsOf: () => RequestParts,
 		now: number,
 	): Suspect | undefined;
-	/** Records a crash with the runs that it ended; returns the suspects that changed. */
+	/**
+	 * Records a crash with the runs that it ended; returns the suspects that changed.
+	 * The crash counts only against runs that began after the previous crash was
+	 * recorded, so that targets that crash simultaneously count once. From the second
+	 * crash on, a request runs isolated and a crash counts against it alone.
+	 */
 	recordCrash(runs: CrashedRun[], now: number): Suspect[];
-	/** Clears a request that a target answered; returns the changed suspect, if any. */
+	/**
+	 * Clears a request that a target answered, because the faulty one is never
+	 * answered; returns the changed suspect, if any.
+	 */
 	clear(identity: RequestIdentity, now: number): Suspect | undefined;
 	/** Merges the suspects of another node; returns those that are newer than the local ones. */
 	merge(received: readonly Suspect[], now: number): Suspect[];
--- a/packages/storage/src/http-exchange.ts
+++ b/packages/storage/src/http-exchange.ts
@@ -1,12 +1,8 @@
 /**
  * One HTTP exchange with the platform, and whether a failed one may have had an
- * effect.
- *
- * A client that reported every failure as "unavailable" would repeat a write that
- * took effect, or tell an operator that a configuration was not accepted although
- * it is in force. The request's body is streamed only after the connection is
- * open, so a failure before that (`handedOver` is false) certainly had no effect,
- * and the effect of any later failure is unknown.
+ * effect. A client that reported every failure as "unavailable" would repeat a
+ * write that took effect, or report to an operator that a configuration was not
+ * accepted although it is in force.
  */
 import {Readable} from 'node:stream';
 import type {Clock} from '@egretspoke/shared';
@@ -19,7 +15,12 @@
 	body?: string;
 };
 
-/** A response, or a failure and whether the body was handed to an open connection before it. */
+/**
+ * A response, or a failure and whether the body was handed to an open connection
+ * before it. The body is streamed only after the connection is open, so a failure
+ * before that (`handedOver` is false) certainly had no effect, and the effect of
+ * any later failure is unknown.
+ */
 export type ExchangeResult =
 	| {kind: 'answer'; status: number; effect: string | undefined; text: string}
 	| {kind: 'failed'; handedOver: boolean; detail: string};
--- a/packages/storage/src/http-protocol.ts
+++ b/packages/storage/src/http-protocol.ts
@@ -11,12 +11,14 @@
  * | `PUT /objects/<name>` with the body as text | 204 |
  *
  * Keys and names are percent-encoded. A credential is sent as a bearer token.
- * A response 503 with the header `platform-effect: none` certifies that the request
- * had no effect; after any other failure, the effect of a write is unknown.
  */
 import {z} from 'zod';
 
-/** The header by which the platform certifies that a failed request had no effect. */
+/**
+ * The header by which the platform certifies that a failed request had no effect,
+ * in a response 503 with `platform-effect: none`. After any other failure, the
+ * effect of a write is unknown.
+ */
 export const effectHeader = 'platform-effect';
 
 /** The only value of the effect header. */
