--- a/packages/mesh/src/directory.ts
+++ b/packages/mesh/src/directory.ts
@@ -103,7 +103,7 @@
 		onPeer: options.onPeer,
 	});
 	const {peers} = links;
-	const wantedMembers = createDesiredLinks({
+	const desiredLinks = createDesiredLinks({
 		clock,
 		self,
 		known,
@@ -191,15 +191,15 @@
 
 	/** Opens and closes links to match the selected subsets. */
 	const refresh = () => {
-		const wanted = wantedMembers.choose();
-		for (const node of wanted) {
+		const desired = desiredLinks.choose();
+		for (const node of desired) {
 			const member = known.get(node);
 			if (member && !peers.has(node)) {
 				links.open(member);
 			}
 		}
 
-		links.closeUndesired(wanted);
+		links.closeUndesired(desired);
 	};
 
 	ticker.schedule(subsetRefreshInterval, refresh);
@@ -208,11 +208,11 @@
 		addMembers,
 		recordHello(member) {
 			addMembers([member], 'peer');
-			wantedMembers.recordAlive(member.node);
+			desiredLinks.recordAlive(member.node);
 			peers.get(member.node)?.link.retryNow();
 		},
 		candidates(service, tried) {
-			if (wantedMembers.recordRequest(service)) {
+			if (desiredLinks.recordRequest(service)) {
 				refresh();
 			}
 
