--- a/packages/node/src/ingress.ts
+++ b/packages/node/src/ingress.ts
@@ -30,7 +30,7 @@
 import {createTargetWatch} from './target-watch.js';
 import {readCompletion, readOutcome} from './target-outcome.js';
 import {refuseTicket} from './ticket-refusal.js';
-import {createTurnQueue} from './turn-queue.js';
+import {createAdmissionWaiters} from './turn-queue.js';
 
 /** Dependencies of the ingress. */
 export type IngressContext = {
@@ -75,7 +75,7 @@
 /** Creates the ingress of one target. */
 export function createIngress(context: IngressContext): Ingress {
 	const {clock, admission, reporter} = context;
-	const turns = createTurnQueue(clock, admission);
+	const waiters = createAdmissionWaiters(clock, admission);
 	const idle = createIdleCounter();
 	const watch = createTargetWatch(context, () => isLeaving);
 	const isolatedTurns = createIsolatedTurns();
@@ -85,7 +85,7 @@
 	const complete = (facts: CallFacts, completion: Completion) => {
 		idle.leave();
 		admission.finish(facts.id, completion, clock.now());
-		turns.dispatchTurns();
+		waiters.settleDue();
 	};
 
 	const dispatch = async (
@@ -194,7 +194,7 @@
 		}
 
 		if (decision.kind === 'wait') {
-			const turn = await turns.wait(facts, signal);
+			const turn = await waiters.wait(facts, signal);
 			reporter.recordDecision({
 				name: turn.kind === 'dispatch' ? 'dispatched' : 'admissionRefused',
 				request: request.id,
@@ -222,7 +222,7 @@
 		},
 		leave() {
 			isLeaving = true;
-			turns.drain();
+			waiters.drain();
 		},
 		rejoin() {
 			isLeaving = false;
--- a/packages/node/src/turn-queue.ts
+++ b/packages/node/src/turn-queue.ts
@@ -12,7 +12,7 @@
 import type {Clock, Timer} from '@egretspoke/shared';
 
 /** The waiting requests of one target. */
-export type TurnQueue = {
+export type AdmissionWaiters = {
 	/**
 	 * Resolves with the decision on the request. A request whose caller gives up
 	 * is withdrawn.
@@ -22,30 +22,30 @@
 	 * Settles every request whose decision is due; to be called when a slot is
 	 * free.
 	 */
-	dispatchTurns(): void;
+	settleDue(): void;
 	/** Drains the admission and settles every waiting request. */
 	drain(): void;
 };
 
 /** Creates an empty queue over an admission. */
-export function createTurnQueue(
+export function createAdmissionWaiters(
 	clock: Clock,
 	admission: AdmissionPolicy,
-): TurnQueue {
-	const waiting = new Map<string, (turn: QueueDecision) => void>();
+): AdmissionWaiters {
+	const waiting = new Map<string, (decision: QueueDecision) => void>();
 	let wakeTimer: Timer | undefined;
 
-	const settleAll = (turns: QueueDecision[]) => {
-		for (const turn of turns) {
-			const settle = waiting.get(turn.id);
-			waiting.delete(turn.id);
-			settle?.(turn);
+	const settleAll = (decisions: QueueDecision[]) => {
+		for (const decision of decisions) {
+			const settle = waiting.get(decision.id);
+			waiting.delete(decision.id);
+			settle?.(decision);
 		}
 
 		scheduleWake();
 	};
 
-	const takeTurns = () => {
+	const settleDueRequests = () => {
 		settleAll(admission.processQueue(clock.now()));
 	};
 
@@ -55,15 +55,15 @@
 		wakeTimer =
 			at === undefined
 				? undefined
-				: clock.setTimer(Math.max(0, at - clock.now()), takeTurns);
+				: clock.setTimer(Math.max(0, at - clock.now()), settleDueRequests);
 	};
 
 	return {
 		async wait({id}, signal) {
 			return new Promise((resolve) => {
-				const settle = (turn: QueueDecision) => {
+				const settle = (decision: QueueDecision) => {
 					signal.removeEventListener('abort', onAbort);
-					resolve(turn);
+					resolve(decision);
 				};
 
 				const onAbort = () => {
@@ -85,7 +85,7 @@
 				scheduleWake();
 			});
 		},
-		dispatchTurns: takeTurns,
+		settleDue: settleDueRequests,
 		drain() {
 			settleAll(admission.drain(clock.now()));
 		},
