--- a/packages/node/src/ingress.ts
+++ b/packages/node/src/ingress.ts
@@ -30,7 +30,7 @@
 import {createTargetWatch} from './target-watch.js';
 import {readCompletion, readOutcome} from './target-outcome.js';
 import {refuseTicket} from './ticket-refusal.js';
-import {createAdmissionWaiters} from './turn-queue.js';
+import {createAdmissionWaiters} from './admission-waiters.js';
 
 /** Dependencies of the ingress. */
 export type IngressContext = {
