--- a/packages/ledger/src/ledger.ts
+++ b/packages/ledger/src/ledger.ts
@@ -4,7 +4,7 @@
  * payment and retries, and the payment runs twice (two rows for one order). All
  * attempts at a key reach the same home, and its ledger lets exactly one of them
  * dispatch. An entry is removed only by a proof that the request did not run, or
- * once its key has createExpiredOutcome on both clocks; from then on the key is refused, so
+ * once its key has expired on both clocks; from then on the key is refused, so
  * that the removal cannot allow a second run.
  */
 import {
